--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -21,8 +21,8 @@
 
 	"merlinarch/internal/accord"
 	"merlinarch/internal/decide/cordon"
-	"merlinarch/internal/decide/record"
-	"merlinarch/internal/decide/rulebook"
+	"merlinarch/internal/decide/ruleset"
+	"merlinarch/internal/decide/statemachine"
 	"merlinarch/internal/features"
 )
 
@@ -85,19 +85,19 @@
 }
 
 // change asks for changes on the present version, anew where another came first.
-func (o *operator) change(ctx context.Context, c *accord.Client, cluster string, changes ...rulebook.Change) (rulebook.Answer, error) {
+func (o *operator) change(ctx context.Context, c *accord.Client, cluster string, changes ...ruleset.Change) (ruleset.Answer, error) {
 	for {
 		s, err := leaderStatus(ctx, c)
 		if err != nil {
-			return rulebook.Answer{}, err
+			return ruleset.Answer{}, err
 		}
-		ask := accord.Ask{Cluster: cluster, Ask: rulebook.Ask{Key: rand.Text(), Base: s.Head.Version, Author: o.author, Reason: o.reason,
+		ask := accord.Ask{Cluster: cluster, Ask: ruleset.Ask{Key: rand.Text(), Base: s.Head.Version, Author: o.author, Reason: o.reason,
 			Forced: o.force, Changes: changes}}
-		var a rulebook.Answer
+		var a ruleset.Answer
 		if err := c.Do(ctx, accord.PathAsk, ask, &a); err != nil {
 			return a, failure{err}
 		}
-		if a.Refused == rulebook.RefusedStale { // others change the rules too
+		if a.Refused == ruleset.RefusedStale { // others change the rules too
 			continue
 		}
 		if a.Refused != "" {
@@ -124,7 +124,7 @@
 			if c.Flags().Changed("born") {
 				t.Born = &born
 			}
-			a, err := o.change(ctx, client, cluster, rulebook.Change{Kind: rulebook.KindCordon, Cordon: &t, For: expires.Milliseconds()})
+			a, err := o.change(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindCordon, Cordon: &t, For: expires.Milliseconds()})
 			if err != nil {
 				return err
 			}
@@ -158,7 +158,7 @@
 		if err != nil {
 			return failure{fmt.Errorf("%s is not confirmed: %s (%w)", id, missing, err)}
 		}
-		i := slices.IndexFunc(s.Cordons, func(c record.Cordon) bool { return c.ID == id })
+		i := slices.IndexFunc(s.Cordons, func(c statemachine.Cordon) bool { return c.ID == id })
 		if i < 0 {
 			return failure{fmt.Errorf("%s is not cordoned any more", id)}
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-func lapsedText(c record.Cordon) string {
+func lapsedText(c statemachine.Cordon) string {
 	if c.Confirmed == nil || len(c.Confirmed.Lapsed) == 0 {
 		return ""
 	}
@@ -184,7 +184,7 @@
 }
 
 // missingText names who may yet start something.
-func missingText(c record.Cordon) string {
+func missingText(c statemachine.Cordon) string {
 	var names []string
 	for _, m := range c.Missing {
 		switch {
@@ -211,7 +211,7 @@
 				return err
 			}
 			defer stop()
-			a, err := o.change(ctx, client, cluster, rulebook.Change{Kind: rulebook.KindLift, Name: args[0]})
+			a, err := o.change(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindLift, Name: args[0]})
 			if err != nil {
 				return err
 			}
@@ -221,7 +221,7 @@
 				if err != nil {
 					return err
 				}
-				if !slices.ContainsFunc(s.Cordons, func(c record.Cordon) bool { return c.ID == args[0] }) {
+				if !slices.ContainsFunc(s.Cordons, func(c statemachine.Cordon) bool { return c.ID == args[0] }) {
 					fmt.Fprintf(c.OutOrStdout(), "%s is open again\n", args[0])
 					return nil
 				}
@@ -245,7 +245,7 @@
 			if err != nil {
 				return err
 			}
-			var changes []rulebook.Change
+			var changes []ruleset.Change
 			d := json.NewDecoder(bytes.NewReader(text))
 			d.DisallowUnknownFields()
 			if err := d.Decode(&changes); err != nil {
--- a/cmd/merlinarch/ledger.go
+++ b/cmd/merlinarch/ledger.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"merlinarch/internal/decide/accounts"
+	"merlinarch/internal/decide/usage"
 	"merlinarch/internal/features"
 	"merlinarch/internal/ledger"
 	"merlinarch/logic"
@@ -22,7 +22,7 @@
 // ledgerOptions are those of a router's ledger, or of a command that only reads one.
 func ledgerOptions(f features.Ledger, s logic.Settings, instance string) ledger.Options {
 	o := ledger.Options{Instance: instance, Now: time.Now, Limits: ledger.DefaultLimits(),
-		Accounts: accounts.Settings{Period: f.Period, Grace: f.Grace}}
+		Accounts: usage.Settings{Period: f.Period, Grace: f.Grace}}
 	for _, t := range s.Tenants {
 		o.Accounts.Tenants = append(o.Accounts.Tenants, t.Name)
 	}
@@ -79,7 +79,7 @@
 			}
 			return nil
 		}}
-	var n accounts.Note
+	var n usage.Note
 	var at, outcome string
 	correct := &cobra.Command{Use: "correct FILE", Short: "Enter a correction; the same key again changes nothing", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -95,7 +95,7 @@
 			found := false
 			for i, name := range outcomeNames {
 				if name == outcome {
-					n.Account.Outcome, found = accounts.Outcome(i), true
+					n.Account.Outcome, found = usage.Outcome(i), true
 				}
 			}
 			if !found {
@@ -148,8 +148,8 @@
 }
 
 // printLedger writes a view; unconfirmed uses are told apart, never within the rows.
-func printLedger(w io.Writer, v ledger.View, s accounts.Settings, period, tenant, format string) error {
-	only := accounts.Period(0)
+func printLedger(w io.Writer, v ledger.View, s usage.Settings, period, tenant, format string) error {
+	only := usage.Period(0)
 	if period != "" {
 		at, err := time.Parse(time.RFC3339, period)
 		if err != nil {
--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -21,9 +21,9 @@
 	"merlinarch/internal/accord"
 	"merlinarch/internal/clients"
 	"merlinarch/internal/config"
+	"merlinarch/internal/decide/backoff"
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/pace"
-	"merlinarch/internal/decide/record"
+	"merlinarch/internal/decide/statemachine"
 	"merlinarch/internal/discovery"
 	"merlinarch/internal/exchange"
 	"merlinarch/internal/features"
@@ -95,7 +95,7 @@
 	if others != nil {
 		work.Go(func() { others.Run(ctx, gw) })
 	}
-	watcher := discovery.New(c.Discovery, pace.OfDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, count, log)
+	watcher := discovery.New(c.Discovery, backoff.OfDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, count, log)
 	if c.Known != nil { // the module's first event is the list, the next the platform's news
 		if err := watcher.Known(c.Known); err != nil {
 			log.Warn("starting without a list", zap.Error(err))
@@ -103,7 +103,7 @@
 	}
 	var desk *platform.Client
 	if c.Platform != "" {
-		desk = platform.New(c.Platform, pace.OfPlatform(c.Seed), c.Limits, gw, count, log)
+		desk = platform.New(c.Platform, backoff.OfPlatform(c.Seed), c.Limits, gw, count, log)
 		parts.Platform = desk
 		if news, err := platform.DecodeNews(c.News); err == nil {
 			gw.Released(news)
@@ -159,7 +159,7 @@
 }
 
 // Print sends a piece of work under its key, with the fence of this claim, and tells whether the receiver has it.
-func (p printer) Print(ctx context.Context, t record.Task) bool {
+func (p printer) Print(ctx context.Context, t statemachine.Task) bool {
 	until := time.Now().Add(min(p.longest, max(time.Second, 4*time.Duration(t.Work.TookMs*float64(time.Millisecond)))))
 	if latest := time.UnixMilli(t.Work.Latest); latest.Before(until) {
 		until = latest
--- a/internal/accord/client.go
+++ b/internal/accord/client.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"merlinarch/internal/decide/pace"
+	"merlinarch/internal/decide/backoff"
 )
 
 // Client asks whichever registrar leads.
@@ -31,7 +31,7 @@
 	if len(c.names) == 0 {
 		return errors.New("no registrars")
 	}
-	p := pace.New(pace.Rule{First: 50 * time.Millisecond, Last: time.Second, Seed: uint64(time.Now().UnixNano())}, false)
+	p := backoff.New(backoff.Rule{First: 50 * time.Millisecond, Last: time.Second, Seed: uint64(time.Now().UnixNano())}, false)
 	for {
 		once, stop := context.WithTimeout(ctx, 5*time.Second)
 		err := Call(once, c.http, c.addrs[c.names[c.at]], path, in, out)
--- a/internal/accord/follower.go
+++ b/internal/accord/follower.go
@@ -15,12 +15,12 @@
 
 	"go.uber.org/zap"
 
+	"merlinarch/internal/decide/backoff"
 	"merlinarch/internal/decide/contact"
 	"merlinarch/internal/decide/cordon"
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/pace"
-	"merlinarch/internal/decide/record"
-	"merlinarch/internal/decide/rulebook"
+	"merlinarch/internal/decide/ruleset"
+	"merlinarch/internal/decide/statemachine"
 	"merlinarch/internal/metrics"
 )
 
@@ -44,7 +44,7 @@
 // Sink is where the decisions hear of the rules.
 type Sink interface {
 	// Ruled returns once the decisions know of a version, or of another conduct; an error tells that they have ended.
-	Ruled(ctx context.Context, v *rulebook.View, c lease.Conduct) error
+	Ruled(ctx context.Context, v *ruleset.View, c lease.Conduct) error
 }
 
 // Fleet is what the dispatcher knows of the servers, for the registrars to judge by.
@@ -60,7 +60,7 @@
 // Printer carries out planned work, through the same decisions as any request. It tells whether the receiver has it for
 // certain; ctx ends with the dispatcher.
 type Printer interface {
-	Print(ctx context.Context, t record.Task) (done bool)
+	Print(ctx context.Context, t statemachine.Task) (done bool)
 }
 
 // Follower is the task that owns a dispatcher's view of the record.
@@ -77,14 +77,14 @@
 	names  []string // of registrars, in order
 	token  string   // of this life
 
-	news  chan rulebook.Document
-	ended chan record.Ended
-	tasks map[uint64]*record.Ended // by fence: what became of each; nil while it runs
+	news  chan ruleset.Document
+	ended chan statemachine.Ended
+	tasks map[uint64]*statemachine.Ended // by fence: what became of each; nil while it runs
 	work  sync.WaitGroup
 
 	life     uint64
 	leader   int // index into names: whom to ask next
-	view     *rulebook.View
+	view     *ruleset.View
 	conduct  lease.Conduct
 	unknown  []string
 	wantList bool
@@ -94,12 +94,12 @@
 // NewFollower makes a follower; Run starts it.
 func NewFollower(o Options, sink Sink, fleet Fleet, count *metrics.Registry, log *zap.Logger) *Follower {
 	if o.Knows == nil {
-		o.Knows = rulebook.Kinds
+		o.Knows = ruleset.Kinds
 	}
 	f := &Follower{Gate: NewGate(o.Mode, o.Clock, count), opts: o, sink: sink, fleet: fleet, count: count, log: log,
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2,
 			IdleConnTimeout: 10 * o.Terms.Beat}},
-		names: slices.Sorted(maps.Keys(o.Registrars)), token: rand.Text(), news: make(chan rulebook.Document, 1), ended: make(chan record.Ended), tasks: map[uint64]*record.Ended{}, conduct: lease.Nothing}
+		names: slices.Sorted(maps.Keys(o.Registrars)), token: rand.Text(), news: make(chan ruleset.Document, 1), ended: make(chan statemachine.Ended), tasks: map[uint64]*statemachine.Ended{}, conduct: lease.Nothing}
 	f.leader = int(o.Seed % uint64(len(f.names)))
 	return f
 }
@@ -112,7 +112,7 @@
 	defer f.work.Wait()
 	// Danger: all dispatchers start in one moment after a loss of power, and each asks for a life, which costs the
 	// registrars a write to their disks. Each has a place of its own within a beat.
-	p := pace.New(pace.Rule{First: f.opts.Terms.Beat / 4, Last: f.opts.Terms.Beat, Window: 0, Seed: f.opts.Seed}, false)
+	p := backoff.New(backoff.Rule{First: f.opts.Terms.Beat / 4, Last: f.opts.Terms.Beat, Window: 0, Seed: f.opts.Seed}, false)
 	place := time.Duration(float64(f.opts.Seed%1024) / 1024 * float64(f.opts.Terms.Beat))
 	if !sleep(ctx, place) {
 		return
@@ -200,7 +200,7 @@
 
 // take takes a version in: first the decisions hear of it, so that they stop choosing what the gate will turn down, then
 // the gate keeps it.
-func (f *Follower) take(ctx context.Context, d rulebook.Document) error {
+func (f *Follower) take(ctx context.Context, d ruleset.Document) error {
 	switch {
 	case !d.Genuine():
 		f.count.Inc("accord.spoilt")
@@ -211,11 +211,11 @@
 	case f.view != nil && d.Head.Version <= f.view.Version():
 		return nil
 	}
-	if f.unknown = rulebook.Unknown(d, f.opts.Knows); len(f.unknown) > 0 {
+	if f.unknown = ruleset.Unknown(d, f.opts.Knows); len(f.unknown) > 0 {
 		f.count.Inc("accord.not_understood")
 		return fmt.Errorf("%w: %v", errUnknownRules, f.unknown)
 	}
-	v := rulebook.NewView(d)
+	v := ruleset.NewView(d)
 	c := f.Gate.Conduct()
 	if err := f.sink.Ruled(ctx, v, c); err != nil {
 		return err
@@ -281,7 +281,7 @@
 }
 
 // carryOut begins the claims that are new, and forgets those that the record has taken back or knows to have ended.
-func (f *Follower) carryOut(ctx context.Context, tasks []record.Task) {
+func (f *Follower) carryOut(ctx context.Context, tasks []statemachine.Task) {
 	listed := map[uint64]bool{}
 	for _, t := range tasks {
 		listed[t.Fence] = true
@@ -293,12 +293,12 @@
 		f.work.Go(func() {
 			done := f.Printer != nil && f.Printer.Print(ctx, t)
 			select {
-			case f.ended <- record.Ended{Dispatch: t.Dispatch, Fence: t.Fence, Done: done}:
+			case f.ended <- statemachine.Ended{Dispatch: t.Dispatch, Fence: t.Fence, Done: done}:
 			case <-ctx.Done():
 			}
 		})
 	}
-	maps.DeleteFunc(f.tasks, func(fence uint64, e *record.Ended) bool { return e != nil && !listed[fence] })
+	maps.DeleteFunc(f.tasks, func(fence uint64, e *statemachine.Ended) bool { return e != nil && !listed[fence] })
 }
 
 // call asks whom it takes for the leader, and learns who is.
@@ -333,7 +333,7 @@
 
 // watch holds a question for news open at one registrar after another; any of them will do.
 func (f *Follower) watch(ctx context.Context) {
-	p := pace.New(pace.Rule{First: f.opts.Terms.Beat / 4, Last: 2 * f.opts.Terms.Beat, Seed: f.opts.Seed + 1}, false)
+	p := backoff.New(backoff.Rule{First: f.opts.Terms.Beat / 4, Last: 2 * f.opts.Terms.Beat, Seed: f.opts.Seed + 1}, false)
 	at, after := int(f.opts.Seed>>8%uint64(len(f.names))), uint64(0)
 	for ctx.Err() == nil {
 		query := url.Values{"cluster": {f.opts.Cluster}, "after": {strconv.FormatUint(after, 10)}}
--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/rulebook"
+	"merlinarch/internal/decide/ruleset"
 	"merlinarch/internal/metrics"
 )
 
@@ -27,7 +27,7 @@
 
 	mu     sync.Mutex
 	holder lease.Holder
-	view   *rulebook.View // nil: none has been taken in
+	view   *ruleset.View // nil: none has been taken in
 	passes map[*Pass]struct{}
 	empty  chan struct{} // closed when the last pass that was broken off has ended; nil: nobody waits
 }
@@ -115,7 +115,7 @@
 // Take puts a newer version in force. It returns once nothing that it forbids goes out any more; only then has the version
 // been taken in. What an older version let begin, and this one allows as well, goes on. Danger: waited for, one server
 // that does not read would keep this dispatcher from every later version, and in the end from its lease.
-func (g *Gate) Take(ctx context.Context, v *rulebook.View) error {
+func (g *Gate) Take(ctx context.Context, v *ruleset.View) error {
 	g.mu.Lock()
 	if g.view != nil && v.Version() <= g.view.Version() {
 		g.mu.Unlock()
--- a/internal/accord/wire.go
+++ b/internal/accord/wire.go
@@ -20,8 +20,8 @@
 	"merlinarch/internal/decide/contact"
 	"merlinarch/internal/decide/cordon"
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/record"
-	"merlinarch/internal/decide/rulebook"
+	"merlinarch/internal/decide/ruleset"
+	"merlinarch/internal/decide/statemachine"
 )
 
 // Paths that a registrar answers at.
@@ -67,32 +67,32 @@
 	Listed  []cordon.Server `json:"listed,omitempty"`  // where the registrar has asked for it
 	Reports []cordon.Report `json:"reports,omitempty"`
 
-	Unix  int64              `json:"unix_ms"`         // the asker's wall clock
-	Met   []contact.Evidence `json:"met,omitempty"`   // at sites, since the last beat
-	Ended []record.Ended     `json:"ended,omitempty"` // tries of planned work, until they are listed as its tasks no more
+	Unix  int64                `json:"unix_ms"`         // the asker's wall clock
+	Met   []contact.Evidence   `json:"met,omitempty"`   // at sites, since the last beat
+	Ended []statemachine.Ended `json:"ended,omitempty"` // tries of planned work, until they are listed as its tasks no more
 }
 
 // Granted is a lease on a version, from when the Beat was sent.
 type Granted struct {
-	Cluster  string             `json:"cluster"`
-	Leader   string             `json:"leader"`
-	Version  uint64             `json:"version"`
-	LeaseNs  int64              `json:"lease_ns"`
-	Document *rulebook.Document `json:"document,omitempty"` // where the asker held another version
-	WantList bool               `json:"want_list,omitempty"`
-	Tasks    []record.Task      `json:"tasks,omitempty"` // planned work that the asker has claimed
+	Cluster  string              `json:"cluster"`
+	Leader   string              `json:"leader"`
+	Version  uint64              `json:"version"`
+	LeaseNs  int64               `json:"lease_ns"`
+	Document *ruleset.Document   `json:"document,omitempty"` // where the asker held another version
+	WantList bool                `json:"want_list,omitempty"`
+	Tasks    []statemachine.Task `json:"tasks,omitempty"` // planned work that the asker has claimed
 }
 
 // News is what a watch brings: a newer version, or that there is none yet.
 type News struct {
-	Cluster  string             `json:"cluster"`
-	Document *rulebook.Document `json:"document,omitempty"`
+	Cluster  string            `json:"cluster"`
+	Document *ruleset.Document `json:"document,omitempty"`
 }
 
 // Ask is an operator's.
 type Ask struct {
 	Cluster string `json:"cluster"`
-	rulebook.Ask
+	ruleset.Ask
 }
 
 // Retire is an operator's word that a dispatcher has ended.
@@ -116,19 +116,19 @@
 
 // Status is what a leader tells of the record.
 type Status struct {
-	Cluster     string                      `json:"cluster"`
-	Role        Role                        `json:"role"`
-	Head        rulebook.Head               `json:"head"`
-	Bound       string                      `json:"bound"`            // D
-	Bounds      map[string]string           `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
-	Rules       rulebook.Rules              `json:"rules"`
-	Waiting     []rulebook.Waiting          `json:"waiting,omitempty"`
-	Cordons     []record.Cordon             `json:"cordons,omitempty"`
-	Work        map[string]record.Work      `json:"work,omitempty"`
-	Sites       map[string]record.Reach     `json:"sites,omitempty"`
-	Dispatchers []Dispatcher                `json:"dispatchers,omitempty"`
-	Expected    []string                    `json:"expected_missing,omitempty"` // named by the rules, and not in the record
-	Registrars  map[string]record.Registrar `json:"registrars"`
+	Cluster     string                            `json:"cluster"`
+	Role        Role                              `json:"role"`
+	Head        ruleset.Head                      `json:"head"`
+	Bound       string                            `json:"bound"`            // D
+	Bounds      map[string]string                 `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
+	Rules       ruleset.Rules                     `json:"rules"`
+	Waiting     []ruleset.Waiting                 `json:"waiting,omitempty"`
+	Cordons     []statemachine.Cordon             `json:"cordons,omitempty"`
+	Work        map[string]statemachine.Work      `json:"work,omitempty"`
+	Sites       map[string]statemachine.Reach     `json:"sites,omitempty"`
+	Dispatchers []Dispatcher                      `json:"dispatchers,omitempty"`
+	Expected    []string                          `json:"expected_missing,omitempty"` // named by the rules, and not in the record
+	Registrars  map[string]statemachine.Registrar `json:"registrars"`
 }
 
 // Dispatcher is what a leader tells of one.
@@ -144,7 +144,7 @@
 
 // Versions is a stretch of the history.
 type Versions struct {
-	Steps []rulebook.Step `json:"steps"`
+	Steps []ruleset.Step `json:"steps"`
 }
 
 // Problem is why a registrar did not do what was asked.
--- a/internal/clients/conns.go
+++ b/internal/clients/conns.go
@@ -14,7 +14,7 @@
 
 	"merlinarch/internal/config"
 	"merlinarch/internal/metrics"
-	"merlinarch/internal/sock"
+	"merlinarch/internal/sockstat"
 )
 
 // conns keeps count of the connections from clients, the idle ones in the order in which they became so.
@@ -70,7 +70,7 @@
 			c.watch()
 		}
 		over := between && n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
-		if over && sock.Silent(c.Conn) {
+		if over && sockstat.Silent(c.Conn) {
 			c.all.mu.Unlock()
 			c.all.count.Inc("clients.ended_idle")
 			return 0, io.EOF
@@ -100,7 +100,7 @@
 		defer c.all.mu.Unlock()
 		switch {
 		case c.closed || c.left != left: // answered
-		case sock.HungUp(c.Conn):
+		case sockstat.HungUp(c.Conn):
 			close(left)
 			c.left = nil
 		default:
@@ -268,7 +268,7 @@
 			return false
 		}
 		a.leave(c)
-		if !sock.Silent(c.Conn) { // its next request waits to be read, or its client has closed it
+		if !sockstat.Silent(c.Conn) { // its next request waits to be read, or its client has closed it
 			continue
 		}
 		c.end(true)
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -18,7 +18,7 @@
 	"merlinarch/internal/config"
 	"merlinarch/internal/exchange"
 	"merlinarch/internal/metrics"
-	"merlinarch/internal/sock"
+	"merlinarch/internal/sockstat"
 	"merlinarch/logic"
 )
 
@@ -201,7 +201,7 @@
 	// A request's time runs from its last byte. Danger: it may have stood in the kernel's backlog for long, and
 	// would be served after its client has left.
 	if c := connOf(r.Context()); c != nil && c.first() {
-		unread := sock.SinceReceived(c.Conn)
+		unread := sockstat.SinceReceived(c.Conn)
 		s.count.Worst("requests.worst_unread_us", unread)
 		until = until.Add(-unread)
 	}
--- a/internal/decide/pace/pace.go
+++ b/internal/decide/backoff/backoff.go
@@ -1,9 +1,9 @@
-// Package pace decides when a router calls anew a service that it follows: discovery or the platform. What one router
+// Package backoff decides when a router calls anew a service that it follows: discovery or the platform. What one router
 // does at once is harmless; what hundreds do in the same moment, after a start, a restart of most or an outage, is a
 // storm that the service spends its time on and answers to nobody. So pauses double with each failure in a row and are
 // drawn at random (exponential back-off with jitter), and where one service takes the calls of the whole fleet, each
 // router has a place of its own in a window that is wide enough for one call from every router.
-package pace
+package backoff
 
 import (
 	"math"
--- a/internal/decide/pace/pace_test.go
+++ b/internal/decide/backoff/backoff_test.go
@@ -1,4 +1,4 @@
-package pace
+package backoff
 
 import (
 	"container/heap"
--- a/internal/decide/rulebook/rulebook.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -1,11 +1,11 @@
-// Package rulebook decides what the agreed document of rules becomes by a change, which changes narrow what dispatchers
+// Package ruleset decides what the agreed document of rules becomes by a change, which changes narrow what dispatchers
 // may do and which widen or move it, and what a dispatcher may do under the version that it holds.
 //
 // A change that narrows is in force with the version that brings it: who hears of it obeys at once. One that widens, or
 // moves something from one place to another, waits in the document until every dispatcher has taken in the version that
 // announces it; only the opening, a version of its own, puts it in force. So a dispatcher on an older version never
 // allows what a newer one forbids later than D, and no two of them act on rules that contradict each other unannounced.
-package rulebook
+package ruleset
 
 import (
 	"crypto/sha256"
--- a/internal/decide/rulebook/view.go
+++ b/internal/decide/ruleset/view.go
@@ -1,4 +1,4 @@
-package rulebook
+package ruleset
 
 import (
 	"slices"
--- a/internal/decide/windows/windows.go
+++ b/internal/decide/schedule/schedule.go
@@ -1,11 +1,11 @@
-// Package windows decides what planned work is sent when: which dispatch is tried now, which waits for a better time, and
+// Package schedule decides what planned work is sent when: which dispatch is tried now, which waits for a better time, and
 // which is given up at once since it can't be done in time any more.
 //
 // It follows contact graph routing (CCSDS 734.20) in planning on contacts rather than on links, with contacts that are
 // forecast (package contact) instead of scheduled. A try costs something if nothing comes of it, and a wait may cost the
 // whole piece of work; so one is tried where its chance now is worth more than what waiting promises, and what would be
 // lost first goes first. A site that is back gets its backlog in measured amounts: its servers are cold.
-package windows
+package schedule
 
 import (
 	"cmp"
--- a/internal/decide/windows/windows_test.go
+++ b/internal/decide/schedule/schedule_test.go
@@ -1,4 +1,4 @@
-package windows
+package schedule
 
 import (
 	"testing"
--- a/internal/decide/record/record.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -1,7 +1,7 @@
-// Package record decides what the agreed record becomes by each entry of the registrars' log: the rulebook's versions,
+// Package statemachine decides what the agreed record becomes by each entry of the registrars' log: the rulebook's versions,
 // the dispatchers and their lives, and which cordons are confirmed. Every registrar carries out the same entries in the
 // same order and holds the same record.
-package record
+package statemachine
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"merlinarch/internal/decide/contact"
 	"merlinarch/internal/decide/cordon"
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/rulebook"
-	"merlinarch/internal/decide/windows"
+	"merlinarch/internal/decide/ruleset"
+	"merlinarch/internal/decide/schedule"
 )
 
 // Entry is one entry of the log. One of its parts is set.
@@ -26,18 +26,18 @@
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
 
-	Ask     *rulebook.Ask `json:"ask,omitempty"`
-	Enrol   *Enrol        `json:"enrol,omitempty"`
-	Open    *Open         `json:"open,omitempty"`
-	Confirm *Confirm      `json:"confirm,omitempty"`
-	Forget  *Forget       `json:"forget,omitempty"`
-	Retire  *Retire       `json:"retire,omitempty"`
-	Passed  *Passed       `json:"passed,omitempty"`
-	Seen    *Seen         `json:"seen,omitempty"`
-	Claim   *Claim        `json:"claim,omitempty"`
-	Ended   *Ended        `json:"ended,omitempty"`
-	Vacate  *Vacate       `json:"vacate,omitempty"`
-	Drop    *Drop         `json:"drop,omitempty"`
+	Ask     *ruleset.Ask `json:"ask,omitempty"`
+	Enrol   *Enrol       `json:"enrol,omitempty"`
+	Open    *Open        `json:"open,omitempty"`
+	Confirm *Confirm     `json:"confirm,omitempty"`
+	Forget  *Forget      `json:"forget,omitempty"`
+	Retire  *Retire      `json:"retire,omitempty"`
+	Passed  *Passed      `json:"passed,omitempty"`
+	Seen    *Seen        `json:"seen,omitempty"`
+	Claim   *Claim       `json:"claim,omitempty"`
+	Ended   *Ended       `json:"ended,omitempty"`
+	Vacate  *Vacate      `json:"vacate,omitempty"`
+	Drop    *Drop        `json:"drop,omitempty"`
 }
 
 // Enrol gives a life to a dispatcher.
@@ -90,7 +90,7 @@
 
 // State is the whole record.
 type State struct {
-	Book      *rulebook.Book          `json:"book"`
+	Book      *ruleset.Book           `json:"book"`
 	Members   map[string]lease.Member `json:"members"`
 	Lives     uint64                  `json:"lives"` // the number of the last one given
 	Confirmed map[string]Confirmation `json:"confirmed"`
@@ -134,7 +134,7 @@
 
 // New is the record before its first entry.
 func New(budget cordon.Budget, coldMs int64) *State {
-	return &State{Book: rulebook.New(budget, coldMs), Members: map[string]lease.Member{}, Confirmed: map[string]Confirmation{},
+	return &State{Book: ruleset.New(budget, coldMs), Members: map[string]lease.Member{}, Confirmed: map[string]Confirmation{},
 		Agreed: map[string]uint64{}, Retired: map[string]Retire{}, Left: map[string]int64{}, Contacts: contact.New(), Work: map[string]Work{}}
 }
 
@@ -153,10 +153,10 @@
 
 // Result is what an entry did.
 type Result struct {
-	Answer  rulebook.Answer // to an Ask
-	Life    uint64          // that was given to a dispatcher
-	Refused string          // why nothing was done; empty: it was
-	Step    *rulebook.Step  // that made a new version, if there is one
+	Answer  ruleset.Answer // to an Ask
+	Life    uint64         // that was given to a dispatcher
+	Refused string         // why nothing was done; empty: it was
+	Step    *ruleset.Step  // that made a new version, if there is one
 }
 
 // Apply carries out one entry, agreed in a term. Entries that a later program wrote, with parts that this one does not
@@ -240,7 +240,7 @@
 // enrol gives a dispatcher its life. Danger: a process that was killed and comes back under its name may meet a lease
 // of its earlier life that still stands somewhere; that life is waited for like a dispatcher of its own.
 func (s *State) enrol(e Enrol) Result {
-	if e.Name == "" || e.Token == "" || len(e.Name) > rulebook.MaxText || len(e.Token) > rulebook.MaxText || len(e.Knows) > 64 ||
+	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxText || len(e.Token) > ruleset.MaxText || len(e.Knows) > 64 ||
 		e.Mode != lease.Hold && e.Mode != lease.Serve {
 		return Result{Refused: "expected a name, a token and a mode"}
 	}
@@ -266,8 +266,8 @@
 
 // lifting tells whether a cordon's lifting is agreed and waits.
 func (s *State) lifting(id string) bool {
-	return slices.ContainsFunc(s.Book.Document.Waiting, func(w rulebook.Waiting) bool {
-		return w.Change.Kind == rulebook.KindLift && w.Change.Name == id
+	return slices.ContainsFunc(s.Book.Document.Waiting, func(w ruleset.Waiting) bool {
+		return w.Change.Kind == ruleset.KindLift && w.Change.Name == id
 	})
 }
 
@@ -293,7 +293,7 @@
 		}
 	}
 	for _, c := range s.Book.Last().Changes { // also one that stands already and is asked for again
-		if c.Kind != rulebook.KindCordon {
+		if c.Kind != ruleset.KindCordon {
 			continue
 		}
 		if delete(s.Left, c.Cordon.ID()); c.For > 0 {
@@ -323,7 +323,7 @@
 	Auto    cordon.Auto
 	Met     map[string]contact.State // by site: what the dispatchers met there of late, pooled
 	Unix    int64                    // ms
-	Planned windows.Settings
+	Planned schedule.Settings
 	Passed  time.Duration // since the last entry that counted time
 }
 
@@ -386,8 +386,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Left)) {
 		if s.Left[id] == 0 && !s.lifting(id) {
-			out = append(out, Entry{Ask: &rulebook.Ask{Key: fmt.Sprintf("expire %s %d", id, s.Agreed[id]), Base: d.Head.Version,
-				Author: "registrar", Reason: "its time is over", Changes: []rulebook.Change{{Kind: rulebook.KindLift, Name: id}}}})
+			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.Agreed[id]), Base: d.Head.Version,
+				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
 			break // the next one rests on the version that this makes
 		}
 	}
@@ -396,9 +396,9 @@
 		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.Listed()) != nil {
 			continue // it would be refused, again and again
 		}
-		out = append(out, Entry{Ask: &rulebook.Ask{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), Base: d.Head.Version,
+		out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), Base: d.Head.Version,
 			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.Listed(),
-			Changes: []rulebook.Change{{Kind: rulebook.KindCordon, Cordon: &cordon.Target{Host: host}, Auto: true}}}})
+			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Auto: true}}}})
 		break
 	}
 	return out
--- a/internal/decide/record/work.go
+++ b/internal/decide/statemachine/work.go
@@ -1,4 +1,4 @@
-package record
+package statemachine
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 
 	"merlinarch/internal/decide/contact"
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/rulebook"
-	"merlinarch/internal/decide/windows"
+	"merlinarch/internal/decide/ruleset"
+	"merlinarch/internal/decide/schedule"
 )
 
 // Seen is what the dispatchers met at sites, pooled.
@@ -177,7 +177,7 @@
 	if len(met) > 0 {
 		out = append(out, Entry{Seen: &Seen{States: met}})
 	}
-	var jobs []windows.Job
+	var jobs []schedule.Job
 	busy := map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(s.Work)) {
 		if x := s.Work[name]; x.Progress == Claimed {
@@ -192,18 +192,18 @@
 		if x.Progress == Done || x.Progress == Dropped {
 			continue
 		}
-		jobs = append(jobs, windows.Job{ID: name, Site: d.Site, Earliest: d.Earliest, Latest: d.Latest, Worth: d.Worth,
+		jobs = append(jobs, schedule.Job{ID: name, Site: d.Site, Earliest: d.Earliest, Latest: d.Latest, Worth: d.Worth,
 			Took: time.Duration(d.TookMs * float64(time.Millisecond)), Tried: x.Tried, Fails: x.Fails, Out: x.Progress == Claimed})
 	}
 	if len(jobs) == 0 {
 		return out
 	}
-	steps := w.Planned.Plan(w.Unix, jobs, func(site string) windows.Site { return place{s, site, w.Unix} })
+	steps := w.Planned.Plan(w.Unix, jobs, func(site string) schedule.Site { return place{s, site, w.Unix} })
 	for _, step := range steps {
 		switch step.Verdict {
-		case windows.GiveUp:
+		case schedule.GiveUp:
 			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Why: step.Why}})
-		case windows.Try:
+		case schedule.Try:
 			if name := s.owner(w, step.Job, busy); name != "" {
 				busy[name]++
 				out = append(out, Entry{Claim: &Claim{Dispatch: step.Job, Name: name, Life: s.Members[name].Life}})
@@ -259,9 +259,9 @@
 
 // Task is a claim as its owner is told of it.
 type Task struct {
-	Dispatch string        `json:"dispatch"`
-	Fence    uint64        `json:"fence"`
-	Work     rulebook.Work `json:"work"`
+	Dispatch string       `json:"dispatch"`
+	Fence    uint64       `json:"fence"`
+	Work     ruleset.Work `json:"work"`
 }
 
 // Reach is what is known of a site.
--- a/internal/decide/accounts/cursor.go
+++ b/internal/decide/usage/cursor.go
@@ -1,4 +1,4 @@
-package accounts
+package usage
 
 import (
 	"fmt"
--- a/internal/decide/accounts/accounts.go
+++ b/internal/decide/usage/usage.go
@@ -1,10 +1,10 @@
-// Package accounts decides what counts as use, by whom and in which period; when a period closes; where a late entry
+// Package usage decides what counts as use, by whom and in which period; when a period closes; where a late entry
 // or a correction goes; and what a statement says. It keeps sums only, bounded by the settings, and is pure: the time
 // comes with each call, and the same calls give the same book.
 //
 // A closed period never changes. What comes for it afterwards is an entry of the oldest open period that names the
 // period, the reason and the author, and every statement shows both figures.
-package accounts
+package usage
 
 import (
 	"cmp"
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 
 	"merlinarch/internal/config"
-	"merlinarch/internal/decide/pace"
-	"merlinarch/internal/follow"
+	"merlinarch/internal/decide/backoff"
 	"merlinarch/internal/gateway"
 	"merlinarch/internal/metrics"
+	"merlinarch/internal/reconnect"
 )
 
 // Sink takes the news.
@@ -31,7 +31,7 @@
 
 // Watcher follows discovery.
 type Watcher struct {
-	*follow.Follower
+	*reconnect.Follower
 	limits config.Limits
 	clock  gateway.Clock
 	sink   Sink
@@ -44,9 +44,9 @@
 }
 
 // New makes a watcher; Run starts it.
-func New(addr string, rule pace.Rule, limits config.Limits, clock gateway.Clock, sink Sink, count *metrics.Registry,
+func New(addr string, rule backoff.Rule, limits config.Limits, clock gateway.Clock, sink Sink, count *metrics.Registry,
 	log *zap.Logger) *Watcher {
-	return &Watcher{Follower: follow.New("discovery", addr, rule, limits, sink.ListingFailed, count, log),
+	return &Watcher{Follower: reconnect.New("discovery", addr, rule, limits, sink.ListingFailed, count, log),
 		limits: limits, clock: clock, sink: sink, count: count,
 		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}}
 }
@@ -74,7 +74,7 @@
 // what an earlier address tells until the present one has given its list.
 func (w *Watcher) Run(ctx context.Context) {
 	known := w.known // at the first address alone: another's versions may count otherwise
-	w.Follower.Run(ctx, func() follow.Session {
+	w.Follower.Run(ctx, func() reconnect.Session {
 		f := &feed{w: w, version: w.held, held: known}
 		known = false
 		return f.watch
@@ -89,7 +89,7 @@
 }
 
 // take hands a list on, unless a later address has given its own.
-func (f *feed) take(l List, at *follow.Place) {
+func (f *feed) take(l List, at *reconnect.Place) {
 	f.version, f.held = l.Version, true
 	f.w.mu.Lock()
 	defer f.w.mu.Unlock()
@@ -101,7 +101,7 @@
 var errUnreadable = errors.New("unreadable line")
 
 // watch holds one watch until it breaks.
-func (f *feed) watch(ctx context.Context, at *follow.Place) error {
+func (f *feed) watch(ctx context.Context, at *reconnect.Place) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(at.Replaced(), stop)()
@@ -119,7 +119,7 @@
 
 // get reads lists from one answer, a line each, until it ends. Danger: a connection to a machine that has
 // been cut off stays open and silent; with no heartbeat it counts as broken.
-func (f *feed) get(ctx context.Context, at *follow.Place, query string) error {
+func (f *feed) get(ctx context.Context, at *reconnect.Place, query string) error {
 	w := f.w
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/rulebook"
+	"merlinarch/internal/decide/ruleset"
 	"merlinarch/internal/exchange"
 	"merlinarch/logic"
 )
@@ -14,7 +14,7 @@
 // rules is what the loop keeps for the agreed rules: discovery's list and the platform's news as they came, and the view
 // that narrows them. The module hears of a cordon as it hears of a drain.
 type rules struct {
-	view    *rulebook.View
+	view    *ruleset.View
 	conduct lease.Conduct
 	hosts   map[logic.ServerID]Host          // as listed
 	lifted  map[logic.ServerID]time.Duration // when the cordon of this life was lifted: it counts as started then
@@ -25,7 +25,7 @@
 
 // ruled is a version of the rules, or another conduct.
 type ruled struct {
-	view    *rulebook.View
+	view    *ruleset.View
 	conduct lease.Conduct
 	heard   chan struct{} // closed once the module knows
 }
@@ -34,13 +34,13 @@
 // before Run. The Fleet is what dispatchers tell their registrars of the servers.
 func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
 	f := newFleet(g.clock, coldTime)
-	g.rules = &rules{view: rulebook.NewView(rulebook.Document{}), conduct: lease.Nothing, hosts: map[logic.ServerID]Host{},
+	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.Nothing, hosts: map[logic.ServerID]Host{},
 		lifted: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
 }
 
 // Ruled brings a version of the rules, or another conduct, and returns once the module knows of it.
-func (g *Gateway) Ruled(ctx context.Context, v *rulebook.View, c lease.Conduct) error {
+func (g *Gateway) Ruled(ctx context.Context, v *ruleset.View, c lease.Conduct) error {
 	e := ruled{v, c, make(chan struct{})}
 	if err := g.post(e); err != nil {
 		return err
--- a/internal/ledger/counter.go
+++ b/internal/ledger/counter.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinarch/internal/decide/accounts"
+	"merlinarch/internal/decide/usage"
 	"merlinarch/internal/exchange"
 	"merlinarch/internal/metrics"
 	"merlinarch/logic"
@@ -33,12 +33,12 @@
 	return c
 }
 
-var outcomes = map[exchange.Status]accounts.Outcome{exchange.Served: accounts.Served, exchange.Refused: accounts.Refused,
-	exchange.Failed: accounts.Failed, exchange.TimedOut: accounts.Failed}
+var outcomes = map[exchange.Status]usage.Outcome{exchange.Served: usage.Served, exchange.Refused: usage.Refused,
+	exchange.Failed: usage.Failed, exchange.TimedOut: usage.Failed}
 
 // Count makes an answer's use durable.
 func (c *Counter) Count(ctx context.Context, f exchange.Fields, a exchange.Answer) (written func()) {
-	u := accounts.Use{Tenant: f.Tenant, Class: f.Class, Outcome: outcomes[a.Status], Attempts: int64(a.Attempts), Work: f.Hint}
+	u := usage.Use{Tenant: f.Tenant, Class: f.Class, Outcome: outcomes[a.Status], Attempts: int64(a.Attempts), Work: f.Hint}
 	if a.Status == exchange.Served {
 		u.Worth = c.worth[f.Class]
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -16,7 +16,7 @@
 	"github.com/fxamacker/cbor/v2"
 	bolt "go.etcd.io/bbolt"
 
-	"merlinarch/internal/decide/accounts"
+	"merlinarch/internal/decide/usage"
 )
 
 var (
@@ -52,7 +52,7 @@
 // Options is what a ledger is opened with.
 type Options struct {
 	Instance string
-	Accounts accounts.Settings
+	Accounts usage.Settings
 	Limits   Limits
 	Now      func() time.Time
 	// commit stands for the store's own, so that tests can let the disk fail.
@@ -78,7 +78,7 @@
 type item struct {
 	use       *Use
 	confirmed uint64
-	note      *accounts.Note
+	note      *usage.Note
 	ready     chan error
 }
 
@@ -185,7 +185,7 @@
 func read(tx *bolt.Tx, o Options) (*state, error) {
 	st := &state{open: map[uint64]Use{}}
 	var err error
-	if st.book, err = accounts.New(o.Accounts, o.Now()); err != nil {
+	if st.book, err = usage.New(o.Accounts, o.Now()); err != nil {
 		return nil, err
 	}
 	meta, records := tx.Bucket(bucketMeta), tx.Bucket(bucketRecords)
@@ -208,7 +208,7 @@
 // restore begins from a snapshot; nil is none.
 func (s *state) restore(data []byte) error {
 	if data == nil {
-		s.book.Restore(accounts.State{})
+		s.book.Restore(usage.State{})
 		return nil
 	}
 	snap, err := unseal(data)
@@ -243,7 +243,7 @@
 
 // Count makes a use durable before its answer goes out, and gives the serial to confirm it by. Where the disk fails,
 // the error is ErrIll.
-func (l *Ledger) Count(ctx context.Context, u accounts.Use) (uint64, error) {
+func (l *Ledger) Count(ctx context.Context, u usage.Use) (uint64, error) {
 	use := &Use{Serial: l.serial.Add(1), At: l.o.Now().UnixNano(), Use: u}
 	return use.Serial, l.submit(ctx, item{use: use, ready: make(chan error, 1)})
 }
@@ -258,7 +258,7 @@
 }
 
 // Correct enters a correction; a repeat of its key changes nothing.
-func (l *Ledger) Correct(ctx context.Context, n accounts.Note) error {
+func (l *Ledger) Correct(ctx context.Context, n usage.Note) error {
 	return l.submit(ctx, item{note: &n, ready: make(chan error, 1)})
 }
 
@@ -370,8 +370,8 @@
 	})
 	r.Sequence, r.Before, r.At = l.state.sequence+1, l.state.last, l.o.Now().UnixNano()
 	if r.Note != nil { // judged before it is written: a record that can't be applied would break the file
-		probe := accounts.Book{}
-		if b, err := accounts.New(l.o.Accounts, time.Unix(0, r.At)); err == nil {
+		probe := usage.Book{}
+		if b, err := usage.New(l.o.Accounts, time.Unix(0, r.At)); err == nil {
 			probe = *b
 		}
 		probe.Restore(l.state.book.State())
@@ -461,7 +461,7 @@
 type View struct {
 	Life        Opening
 	Entries     uint64
-	Statements  []accounts.Statement
+	Statements  []usage.Statement
 	Unconfirmed []Use // open at a crash, or in flight now
 }
 
@@ -505,7 +505,7 @@
 				return nil
 			}
 			st := &state{open: map[uint64]Use{}}
-			if st.book, err = accounts.New(o.Accounts, o.Now()); err != nil {
+			if st.book, err = usage.New(o.Accounts, o.Now()); err != nil {
 				return err
 			}
 			if err := st.restore(meta.Get(keyEarlier)); err != nil {
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -1,7 +1,7 @@
 // Package ledger keeps a router's accounts on disk: records in groups, each hashed over the one before it, in an
 // embedded store. What a client received is counted after a crash: the use is durable before the answer's first byte
 // is written, and confirmed once its last byte was. What was not confirmed by then is listed apart. It decides
-// nothing: package accounts does.
+// nothing: package usage does.
 package ledger
 
 import (
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"merlinarch/internal/decide/accounts"
+	"merlinarch/internal/decide/usage"
 )
 
 // Version of the store's form. A store of a newer one is refused.
@@ -21,13 +21,13 @@
 
 // Record is one group of what happened, as it stands on the disk.
 type Record struct {
-	Sequence  uint64         `cbor:"1,keyasint"`
-	Before    [32]byte       `cbor:"2,keyasint"` // hash of the record before
-	At        int64          `cbor:"3,keyasint"` // Unix time, nanoseconds
-	Uses      []Use          `cbor:"4,keyasint,omitempty"`
-	Confirmed []uint64       `cbor:"5,keyasint,omitempty"` // serials of uses
-	Note      *accounts.Note `cbor:"6,keyasint,omitempty"`
-	Opened    *Opening       `cbor:"7,keyasint,omitempty"`
+	Sequence  uint64      `cbor:"1,keyasint"`
+	Before    [32]byte    `cbor:"2,keyasint"` // hash of the record before
+	At        int64       `cbor:"3,keyasint"` // Unix time, nanoseconds
+	Uses      []Use       `cbor:"4,keyasint,omitempty"`
+	Confirmed []uint64    `cbor:"5,keyasint,omitempty"` // serials of uses
+	Note      *usage.Note `cbor:"6,keyasint,omitempty"`
+	Opened    *Opening    `cbor:"7,keyasint,omitempty"`
 }
 
 // Opening begins a life of an instance.
@@ -38,9 +38,9 @@
 
 // Use is one answer that may go out now.
 type Use struct {
-	Serial uint64       `cbor:"1,keyasint"`
-	At     int64        `cbor:"2,keyasint"` // Unix time, nanoseconds
-	Use    accounts.Use `cbor:"3,keyasint"`
+	Serial uint64    `cbor:"1,keyasint"`
+	At     int64     `cbor:"2,keyasint"` // Unix time, nanoseconds
+	Use    usage.Use `cbor:"3,keyasint"`
 }
 
 // hash covers a record as it is stored.
@@ -69,7 +69,7 @@
 
 // state is what records add up to. Applying the same records in order gives the same state.
 type state struct {
-	book     *accounts.Book
+	book     *usage.Book
 	sequence uint64 // of the last record
 	last     [32]byte
 	open     map[uint64]Use // not confirmed
@@ -104,12 +104,12 @@
 
 // snapshot is a state at rest: a restart begins from it.
 type snapshot struct {
-	Sequence uint64         `cbor:"1,keyasint"`
-	Last     [32]byte       `cbor:"2,keyasint"`
-	Book     accounts.State `cbor:"3,keyasint"`
-	Open     []Use          `cbor:"4,keyasint"`
-	Life     Opening        `cbor:"5,keyasint"`
-	Sum      [32]byte       `cbor:"6,keyasint"` // over all of the above
+	Sequence uint64      `cbor:"1,keyasint"`
+	Last     [32]byte    `cbor:"2,keyasint"`
+	Book     usage.State `cbor:"3,keyasint"`
+	Open     []Use       `cbor:"4,keyasint"`
+	Life     Opening     `cbor:"5,keyasint"`
+	Sum      [32]byte    `cbor:"6,keyasint"` // over all of the above
 }
 
 // sealed is a snapshot's bytes with the hash over them in place.
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 
 	"merlinarch/internal/config"
-	"merlinarch/internal/decide/pace"
-	"merlinarch/internal/follow"
+	"merlinarch/internal/decide/backoff"
 	"merlinarch/internal/metrics"
+	"merlinarch/internal/reconnect"
 	"merlinarch/logic"
 )
 
@@ -34,7 +34,7 @@
 
 // line is one connection to the platform.
 type line struct {
-	at    *follow.Place
+	at    *reconnect.Place
 	conn  net.Conn
 	calls []*call // written, not answered
 	over  bool    // nothing more is written: it ends once what waits is answered
@@ -42,7 +42,7 @@
 
 // Client speaks with the platform.
 type Client struct {
-	*follow.Follower
+	*reconnect.Follower
 	limits config.Limits
 	sink   Sink
 	count  *metrics.Registry
@@ -56,9 +56,9 @@
 }
 
 // New makes a client; Run starts it.
-func New(addr string, rule pace.Rule, limits config.Limits, sink Sink, count *metrics.Registry,
+func New(addr string, rule backoff.Rule, limits config.Limits, sink Sink, count *metrics.Registry,
 	log *zap.Logger) *Client {
-	return &Client{Follower: follow.New("platform", addr, rule, limits, func() {}, count, log), limits: limits, sink: sink,
+	return &Client{Follower: reconnect.New("platform", addr, rule, limits, func() {}, count, log), limits: limits, sink: sink,
 		count: count, votes: make(chan logic.Vote, limits.MaxOutgoing)}
 }
 
@@ -85,11 +85,11 @@
 	var work sync.WaitGroup
 	work.Go(func() { c.write(ctx) })
 	defer work.Wait()
-	c.Follower.Run(ctx, func() follow.Session { return c.session })
+	c.Follower.Run(ctx, func() reconnect.Session { return c.session })
 }
 
 // session holds one connection until it breaks, or until a later address has spoken and all calls are answered.
-func (c *Client) session(ctx context.Context, at *follow.Place) error {
+func (c *Client) session(ctx context.Context, at *reconnect.Place) error {
 	dialer := net.Dialer{Timeout: c.limits.PeerDial}
 	conn, err := dialer.DialContext(ctx, "tcp", at.Addr)
 	if err != nil {
--- a/internal/follow/follow.go
+++ b/internal/reconnect/reconnect.go
@@ -1,6 +1,6 @@
-// Package follow keeps up with a peer of the router whose address may change: it connects anew, with pauses,
+// Package reconnect keeps up with a peer of the router whose address may change: it connects anew, with pauses,
 // when a connection breaks, and goes over from an address to the next without a gap.
-package follow
+package reconnect
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"merlinarch/internal/config"
-	"merlinarch/internal/decide/pace"
+	"merlinarch/internal/decide/backoff"
 	"merlinarch/internal/metrics"
 )
 
@@ -22,7 +22,7 @@
 type Follower struct {
 	name   string // of the peer, in the log and in counters
 	addr   string // the first address
-	rule   pace.Rule
+	rule   backoff.Rule
 	limits config.Limits
 	lost   func() // told once in a row of failures
 	count  *metrics.Registry
@@ -34,7 +34,7 @@
 }
 
 // New makes a follower; Run starts it.
-func New(name, addr string, rule pace.Rule, limits config.Limits, lost func(), count *metrics.Registry,
+func New(name, addr string, rule backoff.Rule, limits config.Limits, lost func(), count *metrics.Registry,
 	log *zap.Logger) *Follower {
 	return &Follower{name: name, addr: addr, rule: rule, limits: limits, lost: lost, count: count, log: log,
 		moves: make(chan string, 1)}
@@ -45,7 +45,7 @@
 	Addr string
 
 	of       *Follower
-	pace     *pace.Pace
+	pace     *backoff.Pace
 	spoken   bool            // it has brought news; guarded by of.mu
 	replaced context.Context // ends once a later place has brought news
 	replace  context.CancelFunc
@@ -125,7 +125,7 @@
 	p.replaced, p.replace = context.WithCancel(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p.pace = pace.New(f.rule, len(f.places) > 0)
+	p.pace = backoff.New(f.rule, len(f.places) > 0)
 	for _, earlier := range f.places {
 		time.AfterFunc(f.limits.MoveGrace, earlier.stop)
 	}
--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"merlinarch/internal/accord"
-	"merlinarch/internal/decide/record"
+	"merlinarch/internal/decide/statemachine"
 )
 
 // front is the registrar's HTTP: each request is a session of its own, which asks the node and waits.
@@ -210,9 +210,9 @@
 		return accord.NewProblem(accord.CodeTerms, "lease, beat, send or drift are set otherwise at this registrar")
 	}
 	v := f.wait(r, func(reply func(any)) any {
-		return propose{record.Entry{Enrol: &record.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, Knows: e.Knows, Site: e.Site}}, reply}
+		return propose{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, Knows: e.Knows, Site: e.Site}}, reply}
 	})
-	if res, ok := v.(record.Result); ok {
+	if res, ok := v.(statemachine.Result); ok {
 		if res.Refused != "" {
 			return accord.NewProblem(accord.CodeWrong, res.Refused)
 		}
@@ -235,8 +235,8 @@
 	if wrong := f.take(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
 		return wrong
 	}
-	v := f.wait(r, func(reply func(any)) any { return propose{record.Entry{Ask: &a.Ask}, reply} })
-	if res, ok := v.(record.Result); ok {
+	v := f.wait(r, func(reply func(any)) any { return propose{statemachine.Entry{Ask: &a.Ask}, reply} })
+	if res, ok := v.(statemachine.Result); ok {
 		return res.Answer
 	}
 	return v
@@ -248,9 +248,9 @@
 		return wrong
 	}
 	v := f.wait(r, func(reply func(any)) any {
-		return propose{record.Entry{Retire: &record.Retire{Name: q.Name, Author: q.Author, Reason: q.Reason, Forced: q.Forced}}, reply}
+		return propose{statemachine.Entry{Retire: &statemachine.Retire{Name: q.Name, Author: q.Author, Reason: q.Reason, Forced: q.Forced}}, reply}
 	})
-	if res, ok := v.(record.Result); ok {
+	if res, ok := v.(statemachine.Result); ok {
 		if res.Refused != "" {
 			return accord.NewProblem(accord.CodeWrong, res.Refused)
 		}
@@ -265,7 +265,7 @@
 		return wrong
 	}
 	v := f.wait(r, func(reply func(any)) any { return change{m, reply} })
-	if _, ok := v.(record.Result); ok {
+	if _, ok := v.(statemachine.Result); ok {
 		return struct{}{}
 	}
 	return v
--- a/internal/registrar/members.go
+++ b/internal/registrar/members.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"merlinarch/internal/accord"
-	"merlinarch/internal/decide/record"
+	"merlinarch/internal/decide/statemachine"
 )
 
 // Members asks for a change of the registrars, one at a time.
@@ -92,8 +92,8 @@
 		n.inbox.put(failure{fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)})
 		return
 	}
-	n.state.Replace(told.Name, record.Registrar{ID: told.ID, Addr: told.Addr})
+	n.state.Replace(told.Name, statemachine.Registrar{ID: told.ID, Addr: told.Addr})
 	n.peers.use(n.state.Registrars)
 	n.show()
-	n.answer(told.Ref, record.Result{})
+	n.answer(told.Ref, statemachine.Result{})
 }
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -21,8 +21,8 @@
 	"merlinarch/internal/decide/contact"
 	"merlinarch/internal/decide/cordon"
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/record"
-	"merlinarch/internal/decide/rulebook"
+	"merlinarch/internal/decide/ruleset"
+	"merlinarch/internal/decide/statemachine"
 )
 
 const (
@@ -43,7 +43,7 @@
 	log   *zap.Logger
 	set   *metrics.Set
 
-	state     *record.State
+	state     *statemachine.State
 	applied   uint64
 	lastTerm  uint64 // of the entry carried out last
 	conf      *pb.ConfState
@@ -94,9 +94,9 @@
 
 // shown is what other tasks may read: the newest version, and a channel that is closed when it is replaced.
 type shown struct {
-	document   rulebook.Document
+	document   ruleset.Document
 	state      accord.Role
-	registrars map[string]record.Registrar
+	registrars map[string]statemachine.Registrar
 	gone       []uint64
 	next       chan struct{}
 }
@@ -128,8 +128,8 @@
 		reply func(any) // a Mark to write down, or a *accord.Problem
 	}
 	propose struct {
-		entry record.Entry
-		reply func(any) // a record.Result, or a *accord.Problem
+		entry statemachine.Entry
+		reply func(any) // a statemachine.Result, or a *accord.Problem
 	}
 	change struct { // of the registrars
 		members Members
@@ -159,7 +159,7 @@
 
 func newNode(o Options, s *store, out *peers, in *mailbox[any], toDisk *mailbox[toStore], set *metrics.Set, log *zap.Logger) (*node, error) {
 	n := &node{opts: o, id: s.id, inbox: in, store: toDisk, peers: out, log: log, set: set, waiting: map[string]func(any){},
-		state: record.New(o.Budget, o.Cold.Milliseconds())}
+		state: statemachine.New(o.Budget, o.Cold.Milliseconds())}
 	snap, err := s.mem.Snapshot()
 	if err != nil {
 		return nil, err
@@ -423,9 +423,9 @@
 	}
 	var env envelope
 	err := json.Unmarshal(e.Data, &env)
-	var entry record.Entry
+	var entry statemachine.Entry
 	if err == nil {
-		entry, err = record.Decode(env.Entry)
+		entry, err = statemachine.Decode(env.Entry)
 	}
 	if err != nil {
 		// Danger: a registrar of an older program that passes over what it can't read holds another record than the
@@ -435,7 +435,7 @@
 	}
 	r := n.state.Apply(entry, e.GetTerm())
 	if r.Step != nil {
-		n.store.put(toStore{batch: batch{steps: []rulebook.Step{*r.Step}}})
+		n.store.put(toStore{batch: batch{steps: []ruleset.Step{*r.Step}}})
 	}
 	n.dirty = true
 	n.show()
@@ -520,7 +520,7 @@
 			n.met[b.Name] = evidence{a.at, b.Met}
 		}
 		for _, e := range b.Ended {
-			n.propose(record.Entry{Ended: &e}, func(any) {})
+			n.propose(statemachine.Entry{Ended: &e}, func(any) {})
 		}
 		if n.unknown[b.Name] = b.Unknown; len(b.Unknown) == 0 {
 			delete(n.unknown, b.Name)
@@ -581,7 +581,7 @@
 }
 
 // propose puts an entry before the others.
-func (n *node) propose(e record.Entry, reply func(any)) {
+func (n *node) propose(e statemachine.Entry, reply func(any)) {
 	switch {
 	case !n.leading:
 		reply(n.notLeader())
@@ -592,7 +592,7 @@
 	}
 	if e.Ask != nil && e.Ask.Author != "" {
 		e.Ask.Evidence = nil
-		if slices.ContainsFunc(e.Ask.Changes, func(c rulebook.Change) bool { return c.Kind == rulebook.KindCordon }) {
+		if slices.ContainsFunc(e.Ask.Changes, func(c ruleset.Change) bool { return c.Kind == ruleset.KindCordon }) {
 			// Danger: a leader that has just been chosen has heard no list yet, and would hold every server for unknown.
 			if e.Ask.Evidence = n.listed(); len(n.lists) == 0 && n.opts.Clock.Now() < n.led+n.opts.Terms.Length {
 				reply(accord.NewProblem(accord.CodeBusy, "no dispatcher has told this leader of the servers yet"))
@@ -625,10 +625,10 @@
 }
 
 // notUnderstood finds dispatchers that do not know a kind of rule which is asked for.
-func (n *node) notUnderstood(a *rulebook.Ask) *accord.Problem {
+func (n *node) notUnderstood(a *ruleset.Ask) *accord.Problem {
 	for name, m := range n.state.Members {
 		for _, c := range a.Changes {
-			known := slices.Contains(rulebook.Kinds, string(c.Kind)) // else it is refused for that
+			known := slices.Contains(ruleset.Kinds, string(c.Kind)) // else it is refused for that
 			if m.Life != 0 && known && !a.Forced && !slices.Contains(m.Knows, string(c.Kind)) {
 				return accord.NewProblem(accord.CodeWrong, fmt.Sprintf("dispatcher %s does not understand rules of kind %.40q: it would lose its lease", name, string(c.Kind)))
 			}
@@ -655,7 +655,7 @@
 }
 
 // watch is what this leader knows beside the record.
-func (n *node) watch() record.Watch {
+func (n *node) watch() statemachine.Watch {
 	now := n.opts.Clock.Now()
 	reports := map[string][]cordon.Report{}
 	for name, r := range n.reports {
@@ -669,7 +669,7 @@
 			met[name] = e.met
 		}
 	}
-	return record.Watch{Roll: n.roll, Now: now, Listed: n.listed, Reports: reports, Auto: n.opts.Auto, Passed: now - n.counted,
+	return statemachine.Watch{Roll: n.roll, Now: now, Listed: n.listed, Reports: reports, Auto: n.opts.Auto, Passed: now - n.counted,
 		Met: contact.Pool(met), Unix: n.unix(), Planned: n.opts.Planned}
 }
 
@@ -691,7 +691,7 @@
 		n.due++
 		n.propose(e, func(v any) {
 			n.due = max(0, n.due-1)
-			if r, ok := v.(record.Result); ok && e.Confirm != nil && r.Refused == "" {
+			if r, ok := v.(statemachine.Result); ok && e.Confirm != nil && r.Refused == "" {
 				n.log.Info("confirmed", zap.String("cordon", e.Confirm.Cordon), zap.Strings("lapsed", e.Confirm.Lapsed))
 			}
 		})
--- a/internal/registrar/peers.go
+++ b/internal/registrar/peers.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"merlinarch/internal/accord"
-	"merlinarch/internal/decide/record"
+	"merlinarch/internal/decide/statemachine"
 )
 
 const (
@@ -70,7 +70,7 @@
 }
 
 // use brings the tasks in step with the record.
-func (p *peers) use(registrars map[string]record.Registrar) {
+func (p *peers) use(registrars map[string]statemachine.Registrar) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wanted := map[uint64]bool{}
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,5 +1,5 @@
 // Package registrar keeps the agreed record on three or five machines: a raft node from a library round the decisions of
-// internal/decide/record, its disk, and the HTTP that dispatchers, operators and other registrars speak with it.
+// internal/decide/statemachine, its disk, and the HTTP that dispatchers, operators and other registrars speak with it.
 //
 // Each part is a task that owns its state and its sockets, and talks with the others by messages: the node owns the
 // library's state machine, the record and what the leader has heard; the store owns the disk; each peer its connection;
@@ -28,8 +28,8 @@
 	"merlinarch/internal/accord"
 	"merlinarch/internal/decide/cordon"
 	"merlinarch/internal/decide/lease"
-	"merlinarch/internal/decide/record"
-	"merlinarch/internal/decide/windows"
+	"merlinarch/internal/decide/schedule"
+	"merlinarch/internal/decide/statemachine"
 )
 
 // Options are a registrar's.
@@ -43,7 +43,7 @@
 	Budget     cordon.Budget
 	Auto       cordon.Auto
 	Cold       time.Duration // a server whose cordon was lifted is cold for so long
-	Planned    windows.Settings
+	Planned    schedule.Settings
 	Clock      accord.Clock
 	Unix       func() time.Time // wall clock, for what is written down; nil: the machine's
 }
@@ -60,10 +60,10 @@
 // Init makes the disk of one of the registrars that a cluster begins with. It is done once: a disk that is lost is
 // replaced by Join.
 func Init(o Options) error {
-	s := record.New(o.Budget, o.Cold.Milliseconds())
+	s := statemachine.New(o.Budget, o.Cold.Milliseconds())
 	conf := &pb.ConfState{}
 	for name, addr := range o.Registrars {
-		s.Replace(name, record.Registrar{ID: firstID(o.Cluster, name), Addr: addr})
+		s.Replace(name, statemachine.Registrar{ID: firstID(o.Cluster, name), Addr: addr})
 		conf.Voters = append(conf.Voters, firstID(o.Cluster, name))
 	}
 	text, err := json.Marshal(s)
@@ -220,7 +220,7 @@
 	}
 	last, _ := s.mem.LastIndex()
 	h := Hello{Cluster: o.Cluster, Name: o.Name, ID: s.id.ID, Boots: s.id.Boots, Start: rand.Text(), Last: last, Term: hard.GetTerm()}
-	state := record.New(o.Budget, o.Cold.Milliseconds())
+	state := statemachine.New(o.Budget, o.Cold.Milliseconds())
 	if snap.Metadata.GetIndex() > 0 {
 		if state, err = decodeState(snap); err != nil {
 			return err
--- a/internal/registrar/store.go
+++ b/internal/registrar/store.go
@@ -20,8 +20,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"merlinarch/internal/decide/record"
-	"merlinarch/internal/decide/rulebook"
+	"merlinarch/internal/decide/ruleset"
+	"merlinarch/internal/decide/statemachine"
 )
 
 // Identity is what a registrar's disk says of it. Danger: one that starts with an empty disk under its old identity
@@ -331,8 +331,8 @@
 
 // batch is what is to be written together.
 type batch struct {
-	messages []*pb.Message   // MsgStorageAppend
-	steps    []rulebook.Step // versions
+	messages []*pb.Message  // MsgStorageAppend
+	steps    []ruleset.Step // versions
 	marks    map[uint64]Mark
 	snapshot *pb.Snapshot // of this registrar's own record
 	keep     uint64       // entries before it may go with the snapshot
@@ -508,8 +508,8 @@
 }
 
 // steps reads versions from one on, at most so many.
-func (s *store) steps(from uint64, most int) ([]rulebook.Step, error) {
-	var out []rulebook.Step
+func (s *store) steps(from uint64, most int) ([]ruleset.Step, error) {
+	var out []ruleset.Step
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(bucketVersions).Cursor()
 		for k, v := c.Seek(number(from)); k != nil && len(out) < most; k, v = c.Next() {
@@ -517,7 +517,7 @@
 			if err != nil {
 				return err
 			}
-			var step rulebook.Step
+			var step ruleset.Step
 			if err := json.Unmarshal(text, &step); err != nil {
 				return fmt.Errorf("version: %w", ErrSpoilt)
 			}
@@ -529,8 +529,8 @@
 }
 
 // decodeState reads a record out of a snapshot.
-func decodeState(snap *pb.Snapshot) (*record.State, error) {
-	s, err := record.Restore(snap.Data)
+func decodeState(snap *pb.Snapshot) (*statemachine.State, error) {
+	s, err := statemachine.Restore(snap.Data)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w: %w", ErrSpoilt, err)
 	}
--- a/internal/sock/sock.go
+++ b/internal/sockstat/sockstat.go
@@ -1,5 +1,5 @@
-// Package sock asks the kernel about a connection without reading from it.
-package sock
+// Package sockstat asks the kernel about a connection without reading from it.
+package sockstat
 
 import (
 	"errors"
--- a/internal/sock/sock_test.go
+++ b/internal/sockstat/sockstat_test.go
@@ -1,4 +1,4 @@
-package sock
+package sockstat
 
 import (
 	"net"
