--- a/internal/clients/conns.go
+++ b/internal/clients/conns.go
@@ -70,7 +70,7 @@
 			c.watch()
 		}
 		over := between && n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
-		if over && sockstat.Silent(c.Conn) {
+		if over && sockstat.OpenAndEmpty(c.Conn) {
 			c.all.mu.Unlock()
 			c.all.count.Inc("clients.ended_idle")
 			return 0, io.EOF
@@ -100,7 +100,7 @@
 		defer c.all.mu.Unlock()
 		switch {
 		case c.closed || c.left != left: // answered
-		case sockstat.HungUp(c.Conn):
+		case sockstat.PeerClosed(c.Conn):
 			close(left)
 			c.left = nil
 		default:
@@ -268,7 +268,7 @@
 			return false
 		}
 		a.leave(c)
-		if !sockstat.Silent(c.Conn) { // its next request waits to be read, or its client has closed it
+		if !sockstat.OpenAndEmpty(c.Conn) { // its next request waits to be read, or its client has closed it
 			continue
 		}
 		c.end(true)
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -202,7 +202,7 @@
 	// would be served after its client has left.
 	if c := connOf(r.Context()); c != nil && c.first() {
 		unread := sockstat.SinceReceived(c.Conn)
-		s.count.Worst("requests.worst_unread_us", unread)
+		s.count.RecordMax("requests.worst_unread_us", unread)
 		until = until.Add(-unread)
 	}
 	if wrong != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -234,7 +234,7 @@
 		}
 		select {
 		case e := <-g.events:
-			g.count.Worst("loop.worst_wait_us", time.Since(e.at))
+			g.count.RecordMax("loop.worst_wait_us", time.Since(e.at))
 			g.take(e.what)
 		case <-wake.C:
 			armed = 0
@@ -254,7 +254,7 @@
 		if !ok {
 			return
 		}
-		g.count.Worst("loop.worst_lateness_us", now-t.at)
+		g.count.RecordMax("loop.worst_lateness_us", now-t.at)
 		if now-t.at > 100*time.Millisecond {
 			g.count.Inc("loop.late_ticks")
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -48,7 +48,7 @@
 func (r *Registry) Inc(name string) { r.Add(name, 1) }
 
 // Worst keeps the longest time seen, in microseconds, under a name ending in "_us".
-func (r *Registry) Worst(name string, d time.Duration) {
+func (r *Registry) RecordMax(name string, d time.Duration) {
 	c := r.at(name)
 	for {
 		have := c.Load()
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -35,7 +35,7 @@
 
 // silent tells that nothing has come on the connection since its last answer, not even its end. Danger: the kernel
 // takes bytes for a host that has closed long ago, and what came unasked would pass for the next answer.
-func (c *conn) silent() bool { return c.br.Buffered() == 0 && sockstat.Silent(c.raw) }
+func (c *conn) silent() bool { return c.br.Buffered() == 0 && sockstat.OpenAndEmpty(c.raw) }
 
 // giveUp ends what is being written or read.
 func (c *conn) giveUp() {
--- a/internal/sockstat/sockstat.go
+++ b/internal/sockstat/sockstat.go
@@ -12,7 +12,7 @@
 
 // Silent tells that a connection is open and holds nothing unread. Its reader may not have run yet since
 // bytes came or the other side closed it, so the kernel is asked. Where that can't be, it counts as silent.
-func Silent(c net.Conn) bool {
+func OpenAndEmpty(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -32,7 +32,7 @@
 
 // HungUp tells that the other side has ended a connection, for good or for sending, whatever stands unread before the
 // end. Where that can't be told, it has not.
-func HungUp(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	const closed, closeWait = 7, 8 // of the kernel's states of a connection, include/net/tcp_states.h
 	hungUp := false
 	ask(c, func(info *unix.TCPInfo) { hungUp = info.State == closed || info.State == closeWait })
