--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,12 +10,12 @@
 
 // New makes a logger for lines of a level and above ("debug", "info", "warn", "error").
 func New(level string) (*zap.Logger, error) {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
 	cfg := zap.NewProductionConfig()
-	cfg.Level = zap.NewAtomicLevelAt(at)
+	cfg.Level = zap.NewAtomicLevelAt(minLevel)
 	cfg.Encoding = "console"
 	cfg.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
 	cfg.DisableCaller, cfg.DisableStacktrace = true, true
--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -20,7 +20,7 @@
 	ctx, stop := context.WithDeadline(p.ctx, a.Deadline)
 	p.work.Go(func() {
 		defer stop()
-		r := p.attempt(ctx, a)
+		r := p.runAttempt(ctx, a)
 		if r.Ended.IsZero() {
 			r.Ended = time.Now()
 		}
@@ -31,32 +31,32 @@
 
 // attempt runs one attempt to its end. By the time it returns, the connection is idle or closed. Danger: an
 // attempt that was given up must not be out on an open connection when the next one leaves.
-func (p *Pool) attempt(ctx context.Context, a gateway.Attempt) gateway.Result {
-	h, c, failed := p.connection(ctx, a.Server)
+func (p *Pool) runAttempt(ctx context.Context, a gateway.Attempt) gateway.Result {
+	h, c, failure := p.getConn(ctx, a.Server)
 	if c == nil {
-		return failed
+		return failure
 	}
 	// Danger: the request may have ended, its client left, or the host begun to drain, while the connection was made.
-	if a.Exchange.Ended() || a.Exchange.Left() || ctx.Err() != nil || !p.leaves(h, a) {
-		p.count.Inc("attempts.given_up_unsent")
-		p.give(h, c)
+	if a.Exchange.Ended() || a.Exchange.Left() || ctx.Err() != nil || !p.admitSend(h, a) {
+		p.counters.Inc("attempts.given_up_unsent")
+		p.putIdle(h, c)
 		return gateway.Result{Outcome: logic.NotSent}
 	}
-	r := p.exchange(ctx, h, c, request(a), a.Exchange.Planned)
+	r := p.execute(ctx, h, c, encodeRequest(a), a.Exchange.Planned)
 	if r.Outcome == logic.OK || r.Begun {
-		p.answered(h, a)
+		p.recordAnswered(h, a)
 	}
 	return r
 }
 
 // connection finds a server's idle connection or makes one; without, the outcome tells why. Danger: short of
 // descriptors, or when the attempt's own time is over, the node would blame the host.
-func (p *Pool) connection(ctx context.Context, server logic.ServerID) (*host, *conn, gateway.Result) {
+func (p *Pool) getConn(ctx context.Context, server logic.ServerID) (*host, *conn, gateway.Result) {
 	h := p.lookup(server)
 	if h == nil {
 		return nil, nil, gateway.Result{Outcome: logic.NotSent}
 	}
-	if c := p.take(h); c != nil {
+	if c := p.takeIdle(h); c != nil {
 		return h, c, gateway.Result{}
 	}
 	c, err := p.connect(ctx, h)
@@ -72,19 +72,19 @@
 
 // exchange writes a request and waits for its answer. The outcome turns on the last byte: a break before it
 // is written proves that the request never ran, after it the request may have.
-func (p *Pool) exchange(ctx context.Context, h *host, c *conn, text []byte, planned string) gateway.Result {
+func (p *Pool) execute(ctx context.Context, h *host, c *conn, text []byte, planned string) gateway.Result {
 	var pass *accord.Pass
 	if p.Gate != nil {
 		var refused error
-		as := p.listed(h)
-		if pass, refused = p.Gate.Begin(as.Name, as.Born, planned, c.giveUp); refused != nil {
-			p.give(h, c)
+		entry := p.currentEntry(h)
+		if pass, refused = p.Gate.Begin(entry.Name, entry.Born, planned, c.abort); refused != nil {
+			p.putIdle(h, c)
 			return gateway.Result{Outcome: logic.NotSent, Held: errors.Is(refused, accord.ErrNoLease)}
 		}
 	}
 	r, written, err := c.roundTrip(ctx, text, pass)
 	if err == nil && r.reusable {
-		p.give(h, c)
+		p.putIdle(h, c)
 	} else {
 		p.discard(c)
 	}
@@ -95,26 +95,26 @@
 		return gateway.Result{Outcome: logic.NotSent}
 	case !written:
 		return gateway.Result{Outcome: logic.ConnectFailed}
-	case err == nil && outcome(r) != logic.OK: // its body is of no use
-		r.room.free()
-		return gateway.Result{Outcome: outcome(r), Load: r.load}
+	case err == nil && outcomeOf(r) != logic.OK: // its body is of no use
+		r.allocation.free()
+		return gateway.Result{Outcome: outcomeOf(r), Load: r.load}
 	case err == nil:
-		return gateway.Result{Outcome: logic.OK, Body: r.body, Free: r.room.free, Load: r.load}
+		return gateway.Result{Outcome: logic.OK, Body: r.body, Free: r.allocation.free, Load: r.load}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return gateway.Result{Outcome: logic.TimedOut, Begun: r.good()}
+		return gateway.Result{Outcome: logic.TimedOut, Begun: r.begunOK()}
 	case ctx.Err() != nil:
-		return gateway.Result{Outcome: logic.Cancelled, Begun: r.good()}
+		return gateway.Result{Outcome: logic.Cancelled, Begun: r.begunOK()}
 	}
-	p.count.Inc("answers." + reason(err))
-	return gateway.Result{Outcome: logic.Reset, Begun: r.good()}
+	p.counters.Inc("answers." + failureReason(err))
+	return gateway.Result{Outcome: logic.Reset, Begun: r.begunOK()}
 }
 
 // reason names why an answer can't be used, for the counters.
-func reason(err error) string {
+func failureReason(err error) string {
 	switch {
 	case errors.Is(err, errTooLarge):
 		return "too_large"
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errBudgetExhausted):
 		return "no_room"
 	case errors.Is(err, errMalformed), errors.Is(err, errTooManyInterim):
 		return "malformed"
@@ -126,11 +126,11 @@
 }
 
 // outcome reads the protocol's table of answers.
-func outcome(r response) logic.Outcome {
+func outcomeOf(r response) logic.Outcome {
 	switch {
 	case r.status == http.StatusOK:
 		return logic.OK
-	case r.notRun && (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout):
+	case r.rejected && (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout):
 		return logic.Rejected
 	default: // it may have run
 		return logic.ServerError
@@ -138,18 +138,18 @@
 }
 
 // request writes an attempt's request. The message goes on as it came.
-func request(a gateway.Attempt) []byte {
+func encodeRequest(a gateway.Attempt) []byte {
 	m := a.Exchange.Message
 	b := make([]byte, 0, 256+len(m.Target)+len(m.Body))
 	b = append(b, m.Method...)
 	b = append(b, ' ')
 	b = append(b, m.Target...)
-	b = append(b, " HTTP/1.1\r\nHost: "+service+"\r\n"+headerID+": "...)
+	b = append(b, " HTTP/1.1\r\nHost: "+serviceHost+"\r\n"+headerID+": "...)
 	b = append(b, m.ID...)
 	b = append(b, "\r\n"+headerRemaining+": "...)
 	b = strconv.AppendInt(b, max(1, time.Until(a.Deadline).Milliseconds()), 10)
 	if m.DedupKey != "" {
-		b = append(b, "\r\n"+headerDedup+": "...)
+		b = append(b, "\r\n"+headerIdempotencyKey+": "...)
 		b = append(b, m.DedupKey...)
 	}
 	if m.Method != http.MethodGet || len(m.Body) > 0 {
@@ -164,19 +164,19 @@
 	p.work.Go(func() {
 		ctx, stop := context.WithTimeout(p.ctx, p.limits.ProbeTimeout)
 		defer stop()
-		r := p.probe(ctx, server)
+		r := p.runProbe(ctx, server)
 		r.Ended = time.Now()
-		p.count.Inc("probes.sent")
+		p.counters.Inc("probes.sent")
 		report(r)
 	})
 }
 
-func (p *Pool) probe(ctx context.Context, server logic.ServerID) gateway.Result {
-	h, c, failed := p.connection(ctx, server)
+func (p *Pool) runProbe(ctx context.Context, server logic.ServerID) gateway.Result {
+	h, c, failure := p.getConn(ctx, server)
 	if c == nil {
-		return failed
+		return failure
 	}
-	r := p.exchange(ctx, h, c, []byte("GET "+pathLoad+" HTTP/1.1\r\nHost: "+service+"\r\n\r\n"), "")
+	r := p.execute(ctx, h, c, []byte("GET "+pathLoad+" HTTP/1.1\r\nHost: "+serviceHost+"\r\n\r\n"), "")
 	if r.Load == nil && r.Outcome == logic.OK {
 		r.Load = parseLoad(string(r.Body))
 	}
--- a/internal/servers/pool.go
+++ b/internal/servers/pool.go
@@ -20,41 +20,41 @@
 // host is a server that the list names, in one of its lives.
 type host struct {
 	gateway.Host
-	drained  time.Time // when it was first told to drain or be gone; zero: it is neither
-	replaced bool      // another life or address has taken its place, or nothing has
-	idle     []*conn   // the latest used last
+	drainingSince time.Time // when it was first told to drain or be gone; zero: it is neither
+	obsolete      bool      // another life or address has taken its place, or nothing has
+	idle          []*conn   // the latest used last
 }
 
 // Pool holds the connections to all servers.
 type Pool struct {
 	Gate *accord.Gate // passed by every attempt right before its bytes go out; nil: none. To be set before the first one
 
-	limits config.Limits
-	count  *metrics.Registry
-	ctx    context.Context
-	stop   context.CancelFunc
-	work   sync.WaitGroup
-	room   *room
+	limits     config.Limits
+	counters   *metrics.Registry
+	ctx        context.Context
+	stop       context.CancelFunc
+	work       sync.WaitGroup
+	bodyBudget *memoryBudget
 
-	mu       sync.Mutex
-	hosts    map[logic.ServerID]*host
-	open     int // connections that stand or are being made
-	recalled map[logic.BuildID]time.Time
-	left     map[uint64]left // by key, of attempts that are Forward
+	mu         sync.Mutex
+	hosts      map[logic.ServerID]*host
+	open       int // connections that stand or are being made
+	recalledAt map[logic.BuildID]time.Time
+	keyBuilds  map[uint64]keyBuild // by key, of attempts that are Forward
 }
 
 // left is the newest build to which an attempt for a key has left, and when it did or was answered.
-type left struct {
+type keyBuild struct {
 	build logic.BuildID
 	at    time.Time
 }
 
 // New makes a pool; Close ends all that it has begun.
-func New(limits config.Limits, count *metrics.Registry) *Pool {
+func New(limits config.Limits, counters *metrics.Registry) *Pool {
 	ctx, stop := context.WithCancel(context.Background())
-	p := &Pool{limits: limits, count: count, ctx: ctx, stop: stop, hosts: map[logic.ServerID]*host{},
-		recalled: map[logic.BuildID]time.Time{}, left: map[uint64]left{}, room: &room{left: limits.AnswerRoom}}
-	p.work.Go(p.retire)
+	p := &Pool{limits: limits, counters: counters, ctx: ctx, stop: stop, hosts: map[logic.ServerID]*host{},
+		recalledAt: map[logic.BuildID]time.Time{}, keyBuilds: map[uint64]keyBuild{}, bodyBudget: &memoryBudget{available: limits.AnswerRoom}}
+	p.work.Go(p.expireLoop)
 	return p
 }
 
@@ -63,7 +63,7 @@
 	p.stop()
 	p.mu.Lock()
 	for _, h := range p.hosts {
-		p.dropIdle(h)
+		p.closeIdleConns(h)
 	}
 	p.mu.Unlock()
 	p.work.Wait()
@@ -77,22 +77,22 @@
 	named := map[logic.ServerID]bool{}
 	for _, h := range hosts {
 		named[h.ID] = true
-		have := p.hosts[h.ID]
+		known := p.hosts[h.ID]
 		switch {
 		case h.State == logic.Gone:
-			p.remove(have, now)
+			p.remove(known, now)
 			continue
-		case have == nil:
-		case have.Addr == h.Addr && have.Started == h.Started && have.Build == h.Build:
-			have.Host = h
-			have.note(now)
+		case known == nil:
+		case known.Addr == h.Addr && known.Started == h.Started && known.Build == h.Build:
+			known.Host = h
+			known.updateDraining(now)
 			continue
 		default: // Danger: a send meant for the earlier life would run another build, unseen by its cap
-			have.replaced = true
-			p.dropIdle(have)
+			known.obsolete = true
+			p.closeIdleConns(known)
 		}
 		fresh := &host{Host: h}
-		fresh.note(now)
+		fresh.updateDraining(now)
 		p.hosts[h.ID] = fresh
 	}
 	if !full {
@@ -106,11 +106,11 @@
 }
 
 // note keeps since when a host wants nothing new.
-func (h *host) note(now time.Time) {
+func (h *host) updateDraining(now time.Time) {
 	if h.State == logic.Ready {
-		h.drained = time.Time{}
-	} else if h.drained.IsZero() {
-		h.drained = now
+		h.drainingSince = time.Time{}
+	} else if h.drainingSince.IsZero() {
+		h.drainingSince = now
 	}
 }
 
@@ -120,24 +120,24 @@
 	if h == nil {
 		return
 	}
-	h.State, h.replaced = logic.Gone, true
-	h.note(now)
-	p.dropIdle(h)
+	h.State, h.obsolete = logic.Gone, true
+	h.updateDraining(now)
+	p.closeIdleConns(h)
 	delete(p.hosts, h.ID)
 }
 
 // dropIdle closes a host's idle connections.
-func (p *Pool) dropIdle(h *host) {
+func (p *Pool) closeIdleConns(h *host) {
 	for _, c := range h.idle {
-		p.shut(c)
+		p.closeConn(c)
 	}
 	h.idle = nil
 }
 
 // shut closes a connection, once.
-func (p *Pool) shut(c *conn) {
-	if !c.shut {
-		c.shut = true
+func (p *Pool) closeConn(c *conn) {
+	if !c.closed {
+		c.closed = true
 		p.open--
 		c.raw.Close()
 	}
@@ -147,7 +147,7 @@
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shut(c)
+	p.closeConn(c)
 }
 
 // CloseIdle closes the idle connections to a server.
@@ -155,7 +155,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[server]; h != nil {
-		p.dropIdle(h)
+		p.closeIdleConns(h)
 	}
 }
 
@@ -164,55 +164,55 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(p.recalled, func(_ logic.BuildID, at time.Time) bool {
+	maps.DeleteFunc(p.recalledAt, func(_ logic.BuildID, at time.Time) bool {
 		return now.Sub(at) > p.limits.MaxWait // what was decided before has ended; builds follow one another for ever
 	})
-	p.recalled[build] = now
+	p.recalledAt[build] = now
 }
 
 // leaves tells that a send may leave now, and notes it: what leaves is seen by all that come after it.
-func (p *Pool) leaves(h *host, a gateway.Attempt) bool {
+func (p *Pool) admitSend(h *host, a gateway.Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.late(h, a) {
+	if p.tooLate(h, a) {
 		return false
 	}
-	p.forward(h, a)
+	p.recordKeyBuild(h, a)
 	return true
 }
 
 // answered notes that a host has answered an attempt, be it that its answer broke off. Danger: what was decided for the
 // key meanwhile, and is held by a dial, would leave for an earlier build.
-func (p *Pool) answered(h *host, a gateway.Attempt) {
+func (p *Pool) recordAnswered(h *host, a gateway.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forward(h, a)
+	p.recordKeyBuild(h, a)
 }
 
 // forward notes that what was decided for an attempt's key before now may not leave for an earlier build; the lock is held.
-func (p *Pool) forward(h *host, a gateway.Attempt) {
-	if key := a.Exchange.Fields.Key; a.Forward && p.left[key].build <= h.Build {
-		p.left[key] = left{h.Build, time.Now()}
+func (p *Pool) recordKeyBuild(h *host, a gateway.Attempt) {
+	if key := a.Exchange.Fields.Key; a.Forward && p.keyBuilds[key].build <= h.Build {
+		p.keyBuilds[key] = keyBuild{h.Build, time.Now()}
 	}
 }
 
 // late tells that a send must not leave any more; the lock is held. Danger: a dial, or a stall of the machine, may hold a
 // send until a drain's grace has passed, a lower cap binds (that comes sooner than a dial takes), its servers no longer
 // drop a repeat, or a later build may have answered its key; it is given up then, never sent late.
-func (p *Pool) late(h *host, a gateway.Attempt) bool {
+func (p *Pool) tooLate(h *host, a gateway.Attempt) bool {
 	now := time.Now()
-	drained := !h.drained.IsZero() && now.After(h.drained.Add(p.limits.SendGrace))
-	at, ok := p.recalled[h.Build]
+	drained := !h.drainingSince.IsZero() && now.After(h.drainingSince.Add(p.limits.SendGrace))
+	at, ok := p.recalledAt[h.Build]
 	recalled := ok && a.Decided.Before(at)
 	if a.Forward { // what is decided later is the module's: the later build may go back by then
-		newer := p.left[a.Exchange.Fields.Key]
-		recalled = recalled || h.Build < newer.build && a.Decided.Before(newer.at)
+		newest := p.keyBuilds[a.Exchange.Fields.Key]
+		recalled = recalled || h.Build < newest.build && a.Decided.Before(newest.at)
 	}
-	return h.replaced || drained || recalled || !a.LeaveBy.IsZero() && now.After(a.LeaveBy)
+	return h.obsolete || drained || recalled || !a.LeaveBy.IsZero() && now.After(a.LeaveBy)
 }
 
 // listed is how the list has a host now. Danger: the list may change while an attempt is on its way.
-func (p *Pool) listed(h *host) gateway.Host {
+func (p *Pool) currentEntry(h *host) gateway.Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return h.Host
@@ -229,7 +229,7 @@
 // for a moment. Danger: what a host sends right behind an answer, a second copy or the connection's end, comes some
 // milliseconds later; a request written meanwhile would take the one for its answer, or be lost with the other. It
 // costs a connection more where one host is asked again at once; so where none is left, a shorter moment has to do.
-func (p *Pool) take(h *host) *conn {
+func (p *Pool) takeIdle(h *host) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, settle := time.Now(), p.limits.ServerSettle
@@ -242,25 +242,25 @@
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
-		if !c.shut && now.Sub(c.usedAt) < p.limits.ServerIdle && c.silent() {
+		if !c.closed && now.Sub(c.usedAt) < p.limits.ServerIdle && c.openAndEmpty() {
 			return c
 		}
-		p.count.Inc("connections.found_closed")
-		p.shut(c)
+		p.counters.Inc("connections.found_closed")
+		p.closeConn(c)
 	}
 	return nil
 }
 
 // give puts a connection among the idle ones, or closes it.
-func (p *Pool) give(h *host, c *conn) {
+func (p *Pool) putIdle(h *host, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.shut {
+	if c.closed {
 		return
 	}
 	c.usedAt = time.Now()
-	if h.replaced || h.State == logic.Gone || p.ctx.Err() != nil || len(h.idle) >= p.limits.MaxPerServer {
-		p.shut(c)
+	if h.obsolete || h.State == logic.Gone || p.ctx.Err() != nil || len(h.idle) >= p.limits.MaxPerServer {
+		p.closeConn(c)
 		return
 	}
 	h.idle = append(h.idle, c)
@@ -268,7 +268,7 @@
 
 // reserve takes a descriptor for a new connection. Danger: without descriptors left the node can't accept;
 // the least recently used idle connection closes first, and where there is none the send is given up.
-func (p *Pool) reserve() bool {
+func (p *Pool) reserveDescriptor() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open >= p.limits.ServerConns {
@@ -281,8 +281,8 @@
 		if oldest == nil {
 			return false
 		}
-		p.count.Inc("connections.evicted")
-		p.shut(oldest.idle[0])
+		p.counters.Inc("connections.evicted")
+		p.closeConn(oldest.idle[0])
 		oldest.idle = slices.Delete(oldest.idle, 0, 1)
 	}
 	p.open++
@@ -290,7 +290,7 @@
 }
 
 // unreserve gives the descriptor of a connection that was never made back.
-func (p *Pool) unreserve() {
+func (p *Pool) releaseDescriptor() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -298,25 +298,25 @@
 
 // connect makes a new connection to a host.
 func (p *Pool) connect(ctx context.Context, h *host) (*conn, error) {
-	if !p.reserve() {
-		p.count.Inc("connections.no_descriptor")
+	if !p.reserveDescriptor() {
+		p.counters.Inc("connections.no_descriptor")
 		return nil, errNoDescriptor
 	}
 	dialer := net.Dialer{Timeout: p.limits.DialTimeout, KeepAlive: -1}
-	raw, err := dialer.DialContext(ctx, "tcp", p.listed(h).Addr)
+	raw, err := dialer.DialContext(ctx, "tcp", p.currentEntry(h).Addr)
 	if err != nil {
-		p.unreserve()
-		p.count.Inc("connections.failed")
+		p.releaseDescriptor()
+		p.counters.Inc("connections.failed")
 		return nil, err
 	}
-	p.count.Inc("connections.opened")
-	return newConn(raw, limits{p.limits.MaxHead, p.limits.MaxAnswer, p.room, p.limits.AnswerWhole}), nil
+	p.counters.Inc("connections.opened")
+	return newConn(raw, responseLimits{p.limits.MaxHead, p.limits.MaxAnswer, p.bodyBudget, p.limits.AnswerWhole}), nil
 }
 
 // retire closes idle connections before the machines' own limit does, and those that hosts have closed or said
 // something on. Danger: a request that crosses the
 // machine's close may have run, and one of an unsafe class could not be tried again.
-func (p *Pool) retire() {
+func (p *Pool) expireLoop() {
 	tick := time.NewTicker(max(p.limits.ServerIdle/16, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
@@ -326,17 +326,17 @@
 		case <-tick.C:
 		}
 		p.mu.Lock()
-		maps.DeleteFunc(p.left, func(_ uint64, l left) bool {
-			return time.Since(l.at) > p.limits.MaxWait // what was decided before has ended
+		maps.DeleteFunc(p.keyBuilds, func(_ uint64, entry keyBuild) bool {
+			return time.Since(entry.at) > p.limits.MaxWait // what was decided before has ended
 		})
 		for _, h := range p.hosts {
 			h.idle = slices.DeleteFunc(h.idle, func(c *conn) bool {
-				old := time.Since(c.usedAt) >= p.limits.ServerIdle
-				if !old && c.silent() {
+				expired := time.Since(c.usedAt) >= p.limits.ServerIdle
+				if !expired && c.openAndEmpty() {
 					return false
 				}
-				p.count.Inc(map[bool]string{true: "connections.retired", false: "connections.found_closed"}[old])
-				p.shut(c)
+				p.counters.Inc(map[bool]string{true: "connections.retired", false: "connections.found_closed"}[expired])
+				p.closeConn(c)
 				return true
 			})
 		}
--- a/internal/servers/response.go
+++ b/internal/servers/response.go
@@ -17,95 +17,95 @@
 
 // Names of this deployment on the way to servers and back.
 const (
-	service         = "app.svc"
-	headerID        = "X-Txn"
-	headerDedup     = "Idempotency-Key"
-	headerRemaining = "X-Remaining-Ms"
-	headerLoad      = "x-pressure"
-	headerNotRun    = "x-turned-away"
-	pathLoad        = "/-/load"
+	serviceHost          = "app.svc"
+	headerID             = "X-Txn"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRemaining      = "X-Remaining-Ms"
+	headerLoad           = "x-pressure"
+	headerRejected       = "x-turned-away"
+	pathLoad             = "/-/load"
 )
 
 // response is a server's answer, read whole.
 type response struct {
-	status   int
-	notRun   bool        // the server says that it turned the request away unseen
-	load     *logic.Load // nil: none, or unreadable
-	body     []byte
-	room     *hold // what the body takes of the node's room
-	reusable bool  // the connection may carry another request
-	begun    bool  // some of it has come
+	status     int
+	rejected   bool        // the server says that it turned the request away unseen
+	load       *logic.Load // nil: none, or unreadable
+	body       []byte
+	allocation *allocation // what the body takes of the node's room
+	reusable   bool        // the connection may carry another request
+	begun      bool        // some of it has come
 }
 
 // good tells that what has come is of a good answer, as far as it goes.
-func (r response) good() bool { return r.begun && (r.status == http.StatusOK || r.status == 0) }
+func (r response) begunOK() bool { return r.begun && (r.status == http.StatusOK || r.status == 0) }
 
 // interim tells that the final answer is yet to come.
-func (r response) interim() bool { return r.status/100 == 1 && r.status != 101 }
+func (r response) isInterim() bool { return r.status/100 == 1 && r.status != 101 }
 
 // limits bound what is read of an answer.
-type limits struct {
-	head, body int
-	room       *room         // for bodies longer than usual
-	whole      time.Duration // from its first byte to its last
+type responseLimits struct {
+	maxHead, maxBody int
+	budget           *memoryBudget // for bodies longer than usual
+	readTimeout      time.Duration // from its first byte to its last
 }
 
 // maxInterim is how many answers may come to a request, interim ones included.
 const maxInterim = 8
 
 var (
-	errTooLarge       = errors.New("answer too large")
-	errMalformed      = errors.New("malformed answer")
-	errNoRoom         = errors.New("no room for an answer so long")
-	errTooManyInterim = errors.New("too many interim answers")
+	errTooLarge        = errors.New("answer too large")
+	errMalformed       = errors.New("malformed answer")
+	errBudgetExhausted = errors.New("no room for an answer so long")
+	errTooManyInterim  = errors.New("too many interim answers")
 )
 
 // readResponse reads one answer whole; of one that can't be used it gives the status, zero where that is not known. Danger:
 // one whose length is in doubt would spill into the next.
-func readResponse(r *bufio.Reader, limit limits) (response, error) {
-	left := limit.head
-	resp, framing, err := readHead(r, &left)
+func readResponse(r *bufio.Reader, limit responseLimits) (response, error) {
+	headLeft := limit.maxHead
+	resp, framing, err := readHead(r, &headLeft)
 	if err != nil {
 		return response{status: resp.status}, err
 	}
-	resp.room = limit.room.hold()
-	if resp.body, err = readBody(r, framing, limit, resp.room); err != nil {
-		resp.room.free()
+	resp.allocation = limit.budget.newAllocation()
+	if resp.body, err = readBody(r, framing, limit, resp.allocation); err != nil {
+		resp.allocation.free()
 		return response{status: resp.status}, err
 	}
-	resp.reusable = !framing.close && !framing.untilEnd
+	resp.reusable = !framing.closeAfter && !framing.untilEOF
 	return resp, nil
 }
 
 // framing tells how an answer's body ends.
 type framing struct {
-	length   int // -1: not told
-	chunked  bool
-	close    bool // the connection ends after it
-	untilEnd bool // the body ends with the connection
+	length     int // -1: not told
+	chunked    bool
+	closeAfter bool // the connection ends after it
+	untilEOF   bool // the body ends with the connection
 }
 
 // line reads one line without its end; left is what the head may still hold.
-func line(r *bufio.Reader, left *int) (string, error) {
-	var whole []byte
+func readLine(r *bufio.Reader, headLeft *int) (string, error) {
+	var text []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if *left -= len(part); *left < 0 {
+		if *headLeft -= len(part); *headLeft < 0 {
 			return "", errTooLarge
 		}
-		whole = append(whole, part...)
+		text = append(text, part...)
 		if err == nil {
 			break
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return "", unexpected(err)
+			return "", unexpectedEOF(err)
 		}
 	}
-	return string(bytes.TrimSuffix(whole[:len(whole)-1], []byte{'\r'})), nil
+	return string(bytes.TrimSuffix(text[:len(text)-1], []byte{'\r'})), nil
 }
 
 // unexpected is the error of an end within an answer.
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -113,8 +113,8 @@
 }
 
 // readHead reads a head; of one that can't be used it gives the status, zero where that is not known.
-func readHead(r *bufio.Reader, left *int) (response, framing, error) {
-	first, err := line(r, left)
+func readHead(r *bufio.Reader, headLeft *int) (response, framing, error) {
+	first, err := readLine(r, headLeft)
 	if err != nil {
 		return response{}, framing{}, err
 	}
@@ -124,9 +124,9 @@
 	if err != nil || len(code) != 3 || status < 100 || version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return response{}, framing{}, fmt.Errorf("%w: status line %.60q", errMalformed, first)
 	}
-	resp, f := response{status: status}, framing{length: -1, close: version == "HTTP/1.0"}
+	resp, f := response{status: status}, framing{length: -1, closeAfter: version == "HTTP/1.0"}
 	for {
-		text, err := line(r, left)
+		text, err := readLine(r, headLeft)
 		if err != nil {
 			return resp, framing{}, err
 		}
@@ -134,10 +134,10 @@
 			break
 		}
 		name, value, ok := strings.Cut(text, ":")
-		if !ok || name == "" || strings.ContainsFunc(name, notToken) || strings.ContainsFunc(value, control) {
+		if !ok || name == "" || strings.ContainsFunc(name, isNotTokenChar) || strings.ContainsFunc(value, isControl) {
 			return resp, framing{}, fmt.Errorf("%w: header line %.60q", errMalformed, text)
 		}
-		if err := resp.header(&f, strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
+		if err := resp.applyHeader(&f, strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
 			return resp, framing{}, err
 		}
 	}
@@ -148,22 +148,22 @@
 		f.chunked, f.length = false, 0
 	}
 	// Danger: where neither a length nor the end of the connection was told, one that broke off passes for whole.
-	if f.untilEnd = !f.chunked && f.length < 0; f.untilEnd && !f.close {
+	if f.untilEOF = !f.chunked && f.length < 0; f.untilEOF && !f.closeAfter {
 		return resp, framing{}, fmt.Errorf("%w: no framing", errMalformed)
 	}
 	return resp, f, nil
 }
 
 // control tells of a character that no header may hold.
-func control(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
 // notToken tells of a character that no header's name may hold.
-func notToken(c rune) bool {
+func isNotTokenChar(c rune) bool {
 	return c <= ' ' || c >= 0x7f || strings.ContainsRune("\"(),/:;<=>?@[\\]{}", c)
 }
 
 // header takes in one header.
-func (resp *response) header(f *framing, name, value string) error {
+func (resp *response) applyHeader(f *framing, name, value string) error {
 	switch name {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
@@ -178,62 +178,62 @@
 		f.chunked = true
 	case "connection":
 		for option := range strings.SplitSeq(value, ",") {
-			f.close = f.close || strings.EqualFold(strings.TrimSpace(option), "close")
+			f.closeAfter = f.closeAfter || strings.EqualFold(strings.TrimSpace(option), "close")
 		}
 	case headerLoad:
 		resp.load = parseLoad(value)
-	case headerNotRun:
-		resp.notRun = value == "1"
+	case headerRejected:
+		resp.rejected = value == "1"
 	}
 	return nil
 }
 
 // readBody reads a body to its end.
-func readBody(r *bufio.Reader, f framing, limit limits, h *hold) ([]byte, error) {
+func readBody(r *bufio.Reader, f framing, limit responseLimits, h *allocation) ([]byte, error) {
 	switch {
 	case f.chunked:
 		return readChunks(r, limit, h)
-	case f.untilEnd:
-		return grow(r, nil, limit.body, true, h)
-	case f.length > limit.body:
+	case f.untilEOF:
+		return appendBody(r, nil, limit.maxBody, true, h)
+	case f.length > limit.maxBody:
 		return nil, errTooLarge
 	}
-	return grow(r, nil, f.length, false, h)
+	return appendBody(r, nil, f.length, false, h)
 }
 
 // grow reads n more bytes of a body, or until its end if that comes first and may come. Danger: what an answer
 // claims to hold would take the memory before it has come.
-func grow(r io.Reader, body []byte, n int, mayEnd bool, h *hold) ([]byte, error) {
+func appendBody(r io.Reader, body []byte, n int, untilEOF bool, h *allocation) ([]byte, error) {
 	const step = 64 << 10
 	for n > 0 {
-		from, more := len(body), min(n, step)
-		if cap(body)-from < more {
-			if size := max(2*cap(body), from+more); size <= step || h.take(size-step) {
+		start, want := len(body), min(n, step)
+		if cap(body)-start < want {
+			if size := max(2*cap(body), start+want); size <= step || h.growTo(size-step) {
 				body = append(make([]byte, 0, size), body...)
 			} else {
-				return nil, errNoRoom
+				return nil, errBudgetExhausted
 			}
 		}
-		got, err := io.ReadFull(r, body[from:from+more])
-		body, n = body[:from+got], n-got
+		got, err := io.ReadFull(r, body[start:start+want])
+		body, n = body[:start+got], n-got
 		switch {
-		case mayEnd && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)):
+		case untilEOF && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)):
 			return body, nil
 		case err != nil:
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 	}
-	if mayEnd { // there was room for no more, and it has not ended
+	if untilEOF { // there was room for no more, and it has not ended
 		return nil, errTooLarge
 	}
 	return body, nil
 }
 
 // readChunks reads a chunked body and its trailer.
-func readChunks(r *bufio.Reader, limit limits, h *hold) ([]byte, error) {
+func readChunks(r *bufio.Reader, limit responseLimits, h *allocation) ([]byte, error) {
 	var body []byte
-	for left := limit.head + limit.body; ; { // chunks of a byte each have longer heads than data
-		text, err := line(r, &left)
+	for left := limit.maxHead + limit.maxBody; ; { // chunks of a byte each have longer heads than data
+		text, err := readLine(r, &left)
 		if err != nil {
 			return nil, err
 		}
@@ -245,20 +245,20 @@
 		if n == 0 {
 			break
 		}
-		if len(body)+int(n) > limit.body {
+		if len(body)+int(n) > limit.maxBody {
 			return nil, errTooLarge
 		}
-		if body, err = grow(r, body, int(n), false, h); err != nil {
+		if body, err = appendBody(r, body, int(n), false, h); err != nil {
 			return nil, err
 		}
-		if end, err := line(r, &left); err != nil {
+		if end, err := readLine(r, &left); err != nil {
 			return nil, err
 		} else if end != "" {
 			return nil, fmt.Errorf("%w: end of chunk %.30q", errMalformed, end)
 		}
 	}
-	for left := limit.head; ; {
-		if text, err := line(r, &left); err != nil || text == "" {
+	for left := limit.maxHead; ; {
+		if text, err := readLine(r, &left); err != nil || text == "" {
 			return body, err
 		}
 	}
@@ -266,16 +266,16 @@
 
 // parseLoad reads a load report, name=value,name=value; one that can't be read is none.
 func parseLoad(text string) *logic.Load {
-	l, any := settings.NoLoad(), false
+	l, found := settings.NoLoad(), false
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || !(x >= 0 && x < 1e12) {
 			return nil
 		}
-		any = settings.SetLoad(&l, name, x) || any
+		found = settings.SetLoad(&l, name, x) || found
 	}
-	if !any {
+	if !found {
 		return nil
 	}
 	return &l
