--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -87,7 +87,7 @@
 	var work sync.WaitGroup
 	var rules *accord.Follower
 	if f.Accord.On() {
-		rules = accord.NewFollower(followerOptions(f.Accord, c), gw, gw.UseRules(c.Settings.ColdTime), count, log)
+		rules = accord.NewFollower(followerOptions(f.Accord, c), gw, gw.UseRules(c.Settings.WarmUpTime), count, log)
 		rules.Printer = printer{gw, c.Limits.MaxWait}
 		pool.Gate = rules.Gate
 		work.Go(func() { rules.Run(ctx) })
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -136,7 +136,7 @@
 // repeatable checks that the method fits the class, and gives the key of a keyed request.
 func (p *reader) repeatable(r *http.Request, class logic.Class) (string, *problem) {
 	want := http.MethodPost
-	if class.Repeat == logic.Safe {
+	if class.Repeatability == logic.Safe {
 		want = http.MethodGet
 	}
 	if r.Method != want {
@@ -149,7 +149,7 @@
 		return "", &problem{http.StatusLengthRequired, "no body where one is due"}
 	case r.ContentLength > int64(p.limits.MaxBody):
 		return "", &problem{http.StatusRequestEntityTooLarge, "body too large"}
-	case class.Repeat != logic.Keyed:
+	case class.Repeatability != logic.Keyed:
 		return "", nil
 	}
 	return once(r.Header, headerDedup, p.limits.MaxIDLength)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -140,8 +140,8 @@
 	c.Limits, err = NewLimits(Told{Cores: v.GetFloat64("limits", "cores"),
 		MemoryMB: v.GetInt("limits", "memory_mb"), Sockets: v.GetInt("limits", "sockets"),
 		Dial: settings.DialTimeout(own)}, c.Settings)
-	if c.Settings.MaxOpen <= 0 || c.Settings.MaxOpen > c.Limits.MaxOpen { // the module decides what is let go
-		c.Settings.MaxOpen = c.Limits.MaxOpen
+	if c.Settings.MaxOpenRequests <= 0 || c.Settings.MaxOpenRequests > c.Limits.MaxOpen { // the module decides what is let go
+		c.Settings.MaxOpenRequests = c.Limits.MaxOpen
 	}
 	return c, err
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -101,7 +101,7 @@
 		AnswerMargin: 140 * time.Millisecond, LastMargin: 110 * time.Millisecond,
 		ReadWhole: 2200 * time.Millisecond, ClientIdle: 2200 * time.Millisecond, FreshLeast: 250 * time.Millisecond,
 		WriteStall:  10 * max(longest, time.Second),
-		DialTimeout: told.Dial, ProbeTimeout: told.Dial, ServerIdle: s.ConnIdle * 9 / 10,
+		DialTimeout: told.Dial, ProbeTimeout: told.Dial, ServerIdle: s.ConnIdleTimeout * 9 / 10,
 		ServerSettle: 20 * time.Millisecond, SettleLeast: 2 * time.Millisecond, AnswerWhole: 400 * time.Millisecond,
 		SendGrace: s.DrainGrace * 7 / 10,
 		PeerDial:  time.Second, ListSilence: 5 * time.Second, NewsSilence: 3500 * time.Millisecond,
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -39,7 +39,7 @@
 // fixed capacity for all routers, and the settings tell in what time each has to ask (AskWithin); else an agent of the
 // router's own answers, and nothing is shared.
 func OfDiscovery(s logic.Settings, seed uint64) Rule {
-	if !s.AskDiscovery || s.AskWithin <= 0 || s.Peers <= 1 {
+	if !s.WatchDiscovery || s.WatchWithin <= 0 || s.RouterCount <= 1 {
 		// Danger: what the agent gets when discovery is back counts as told at once; a pause as long as the grace of a
 		// drain would hear of it when that is over. The agent answers at no cost.
 		rule := Rule{First: first, Last: last, Seed: seed}
@@ -50,8 +50,8 @@
 	}
 	// Multiples of the golden section leave no part of the window crowded, whichever routers happen to call.
 	_, place := math.Modf(float64(s.Self) * golden)
-	window := time.Duration(askedPart * float64(s.AskWithin))
-	return Rule{Window: window, Move: min(window, moved), Widest: time.Duration(widest * float64(s.AskWithin)),
+	window := time.Duration(askedPart * float64(s.WatchWithin))
+	return Rule{Window: window, Move: min(window, moved), Widest: time.Duration(widest * float64(s.WatchWithin)),
 		Place: place, Seed: seed}
 }
 
--- a/internal/decide/ruleset/view.go
+++ b/internal/decide/ruleset/view.go
@@ -75,7 +75,7 @@
 
 // Vote narrows a vote: during a freeze, and without a lease, none takes a build further.
 func (v *View) Vote(x logic.Vote, c lease.Conduct) logic.Vote {
-	if x.Verdict == logic.VoteOn && (v.Document.Rules.Freeze != nil || c != lease.Full) {
+	if x.Verdict == logic.VoteAdvance && (v.Document.Rules.Freeze != nil || c != lease.Full) {
 		x.Verdict = logic.VoteHold
 	}
 	return x
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -123,8 +123,8 @@
 // Settled gives the module the end of an attempt; over tells that the request has ended with it. The client has
 // its answer by then: it does not wait for what the module does next.
 func (d *Driver[T]) Settled(now time.Duration, c *Call[T], e End, over bool) {
-	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Took: e.At - c.SentAt, Server: c.Server,
-		Attempt: c.attempts - 1, Final: over, Begun: e.Begun, Load: e.Load})
+	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Duration: e.At - c.SentAt, Server: c.Server,
+		Attempt: c.attempts - 1, RequestEnded: over, AnswerBegun: e.Begun, Load: e.Load})
 	if over {
 		delete(d.calls, c.ID)
 	}
@@ -138,7 +138,7 @@
 			d.effects.Stray(a)
 			return
 		}
-		c.attempts, c.SentAt, c.LeaveBy, c.Forward, c.Server, c.out = c.attempts+1, now, a.LeaveBy, a.Forward, a.Server, true
+		c.attempts, c.SentAt, c.LeaveBy, c.Forward, c.Server, c.out = c.attempts+1, now, a.SendBy, a.ForwardOnly, a.Server, true
 		d.effects.Start(c, a.Timeout)
 	case logic.Cancel:
 		c := d.calls[a.ID]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -275,7 +275,7 @@
 	case attempted:
 		g.outcome(e)
 	case probed:
-		g.feed(logic.ProbeDone{Server: e.server, Outcome: e.result.Outcome, Took: e.result.Ended.Sub(e.sentAt),
+		g.feed(logic.ProbeDone{Server: e.server, Outcome: e.result.Outcome, Duration: e.result.Ended.Sub(e.sentAt),
 			Load: e.result.Load})
 	case listed:
 		g.list(e)
@@ -293,7 +293,7 @@
 func (g *Gateway) arrive(ex *exchange.Exchange) {
 	f := ex.Fields
 	c := g.driver.Arrive(g.clock.Now(), &request{ex: ex}, logic.RequestArrived{Class: f.Class, Tenant: f.Tenant,
-		Key: f.Key, HasKey: f.HasKey, Left: max(0, time.Until(ex.Deadline)), Hint: f.Hint, Retry: f.Retry, Zone: f.Zone})
+		Key: f.Key, HasKey: f.HasKey, TimeLeft: max(0, time.Until(ex.Deadline)), ExpectedWork: f.Hint, MarkedRetry: f.Retry, RequiredZone: f.Zone})
 	if !c.Gone() {
 		g.calls[ex] = c
 	}
@@ -350,7 +350,7 @@
 	if g.rules != nil {
 		e = g.rules.release(e, g.clock.Now())
 	}
-	if !e.IsReply || e.Reply == logic.VoteCounts {
+	if !e.IsReply || e.Reply == logic.VoteCounted {
 		if e.Build == g.last.Build && e.Cap < g.last.Cap {
 			g.parts.Servers.Recall(e.Build)
 		}
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -105,7 +105,7 @@
 
 // release narrows the platform's news.
 func (r *rules) release(e logic.ReleaseStatus, now time.Duration) logic.ReleaseStatus {
-	if !e.IsReply || e.Reply == logic.VoteCounts {
+	if !e.IsReply || e.Reply == logic.VoteCounted {
 		kept := e
 		kept.IsReply = false
 		r.news, r.newsAt = &kept, now
@@ -137,12 +137,12 @@
 	if r.news != nil && r.news.Phase == logic.OnTrial {
 		if now := r.view.Release(*r.news, r.conduct); now.Cap != g.last.Cap || now.Build != g.last.Build {
 			again := *r.news
-			again.Age += g.clock.Now() - r.newsAt
+			again.StageAge += g.clock.Now() - r.newsAt
 			g.release(again)
 		}
 	}
 	d := r.view.Document.Rules
-	g.router.Retune(d.Tenants, d.Worth)
+	g.router.SetSharesAndWorths(d.Tenants, d.Worth)
 	if r.conduct != lease.Nothing {
 		return
 	}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -77,7 +77,7 @@
 	c.sink.Released(e)
 }
 
-var replyNames = map[logic.VoteReply]string{logic.VoteCounts: "ok", logic.VoteMoot: "stale",
+var replyNames = map[logic.VoteReply]string{logic.VoteCounted: "ok", logic.VoteStale: "stale",
 	logic.VoteThrottled: "busy", logic.VoteError: "failed", logic.VoteTimedOut: "timeout"}
 
 // Run keeps a connection until ctx ends.
@@ -178,13 +178,13 @@
 func (c *Client) tell(l *line, e logic.ReleaseStatus) {
 	c.telling.Lock()
 	defer c.telling.Unlock()
-	counts, state := l.at.Spoke(), !e.IsReply || e.Reply == logic.VoteCounts
+	counts, state := l.at.Spoke(), !e.IsReply || e.Reply == logic.VoteCounted
 	if state && !counts {
 		if !e.IsReply {
 			return
 		}
 		e = c.latest
-		e.IsReply, e.Reply = true, logic.VoteCounts
+		e.IsReply, e.Reply = true, logic.VoteCounted
 	}
 	if state {
 		c.latest = e
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -32,13 +32,13 @@
 	highestStage = 1 << 10
 )
 
-var verdicts = map[logic.Verdict]string{logic.VoteNone: "blank", logic.VoteOn: "go", logic.VoteHold: "stay",
-	logic.VoteBack: "stop"}
+var verdicts = map[logic.Verdict]string{logic.VoteNone: "blank", logic.VoteAdvance: "go", logic.VoteHold: "stay",
+	logic.VoteRollBack: "stop"}
 
-var phases = map[string]logic.Phase{"trial": logic.OnTrial, "rolling_back": logic.GoingBack,
+var phases = map[string]logic.Phase{"trial": logic.OnTrial, "rolling_back": logic.RollingBack,
 	"released": logic.Released, "withdrawn": logic.Withdrawn}
 
-var refusals = map[string]logic.VoteReply{"BUSY": logic.VoteThrottled, "STALE": logic.VoteMoot,
+var refusals = map[string]logic.VoteReply{"BUSY": logic.VoteThrottled, "STALE": logic.VoteStale,
 	"FAILED": logic.VoteError, "SYNTAX": logic.VoteError}
 
 // otherKinds are what the platform may tell besides news, on other deployments.
@@ -122,7 +122,7 @@
 		return logic.ReleaseStatus{}, errState
 	}
 	return logic.ReleaseStatus{Build: logic.BuildID(build), Stage: stage, Phase: p, Cap: limit,
-		Age: time.Duration(ageMS * float64(time.Millisecond))}, nil
+		StageAge: time.Duration(ageMS * float64(time.Millisecond))}, nil
 }
 
 // DecodeNews reads the state that the configuration holds.
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -327,13 +327,13 @@
 	return out
 }
 
-var phases = map[logic.Phase]string{logic.OnTrial: "trial", logic.GoingBack: "rolling_back",
+var phases = map[logic.Phase]string{logic.OnTrial: "trial", logic.RollingBack: "rolling_back",
 	logic.Released: "released", logic.Withdrawn: "withdrawn"}
 
 var states = map[logic.ServerState]string{logic.Ready: "up", logic.Draining: "draining", logic.Gone: "removed"}
 
-var verdicts = map[string]logic.Verdict{"blank": logic.VoteNone, "go": logic.VoteOn, "stay": logic.VoteHold,
-	"stop": logic.VoteBack}
+var verdicts = map[string]logic.Verdict{"blank": logic.VoteNone, "go": logic.VoteAdvance, "stay": logic.VoteHold,
+	"stop": logic.VoteRollBack}
 
 // host is an entry as one router is told it.
 func (st *stage) host(r *router, e rehearsal.Entry) discovery.Host {
@@ -458,7 +458,7 @@
 	life := r.life
 	st.w.Vote(r.number, v.Build-1, v.Stage, verdict, func(a rehearsal.VoteReply) {
 		switch a.How {
-		case logic.VoteCounts:
+		case logic.VoteCounted:
 			if r.life == life {
 				st.w.Heard(r.number, a.Standing)
 			}
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -18,25 +18,25 @@
 		return ""
 	}
 	mode, counts, swap, decided := "push", "all", "beside", "any"
-	if s.AskDiscovery {
+	if s.WatchDiscovery {
 		mode = "subscribe"
 	}
 	r := s.Rollout
-	if r.PerClass {
+	if r.BudgetPerClass {
 		counts = "per_lane"
 	}
-	if r.Rolling {
+	if r.RollingUpdate {
 		swap = "rolling"
 	}
-	if r.Clocked {
+	if r.AutoAdvance {
 		decided = "clocked"
 	}
 	classes, tenants := []any{}, []any{}
 	for _, c := range s.Classes {
-		entry := map[string]any{"name": c.Name, "repeat": named(repeats, c.Repeat), "window_ms": ms(c.DedupWindow),
-			"aim_ms": ms(c.Aim), "deadline_ms": ms(c.Deadline), "worth": c.Worth, "late_value": c.LateValue}
+		entry := map[string]any{"name": c.Name, "repeat": named(repeats, c.Repeatability), "window_ms": ms(c.DedupWindow),
+			"aim_ms": ms(c.LatencyTarget), "deadline_ms": ms(c.Deadline), "worth": c.Worth, "late_value": c.LateValue}
 		for name, scope := range scopes {
-			if scope == c.Scope && c.Repeat == logic.Keyed {
+			if scope == c.DedupScope && c.Repeatability == logic.Keyed {
 				entry["group"] = name
 			}
 		}
@@ -45,17 +45,17 @@
 	for _, t := range s.Tenants {
 		tenants = append(tenants, map[string]any{"name": t.Name, "quota_rps": t.Quota, "share": t.Share})
 	}
-	return map[string]any{"me": s.Self, "peers_total": s.Peers, "zone": s.Zone, "registry_mode": mode,
-		"tick_ms": ms(s.Tick), "over_share_worth": s.OverShare, "classes": classes, "orgs": tenants,
+	return map[string]any{"me": s.Self, "peers_total": s.RouterCount, "zone": s.Zone, "registry_mode": mode,
+		"tick_ms": ms(s.ClockResolution), "over_share_worth": s.OverShareWorth, "classes": classes, "orgs": tenants,
 		"deductions":    map[string]any{"cross_zone": s.CrossZoneCost, "handshake": s.HandshakeCost},
 		"client_habits": map[string]any{"marks_retry": s.MarksRetry},
-		"caps": map[string]any{"max_attempts": s.MaxAttempts, "max_open": s.MaxOpen,
+		"caps": map[string]any{"max_attempts": s.MaxAttempts, "max_open": s.MaxOpenRequests,
 			"max_retry_after_ms": ms(s.MaxRetryAfter), "probes": s.CanProbe, "peers": s.CanPost, "cancel": s.CanCancel,
-			"conn_idle_ms": ms(s.ConnIdle)},
-		"rules": map[string]any{"ask_within_ms": ms(s.AskWithin), "drain_grace_ms": ms(s.DrainGrace),
-			"cold_from": s.ColdFrom, "cold_ms": ms(s.ColdTime), "fall_multiple": s.FallMultiple, "fall_ms": ms(s.FallTime)},
-		"family_info": map[string]any{"steps": r.StageShare, "exposure_caps": r.StageCap, "exposure_window_ms": ms(r.Window),
-			"free": r.Free, "counts": counts, "closed_stages": r.ClosedStages, "forward_only": r.ForwardOnly, "swap": swap,
-			"warm_keys": r.WarmKeys, "least_stage_ms": ms(r.MinStage), "ballot_ttl_ms": ms(r.VoteTTL),
+			"conn_idle_ms": ms(s.ConnIdleTimeout)},
+		"rules": map[string]any{"ask_within_ms": ms(s.WatchWithin), "drain_grace_ms": ms(s.DrainGrace),
+			"cold_from": s.ColdCapacity, "cold_ms": ms(s.WarmUpTime), "fall_multiple": s.OverloadMultiple, "fall_ms": ms(s.OverloadTime)},
+		"family_info": map[string]any{"steps": r.StageShare, "exposure_caps": r.StageCap, "exposure_window_ms": ms(r.ExposureWindow),
+			"free": r.FreeAttempts, "counts": counts, "closed_stages": r.ClosedStages, "forward_only": r.ForwardOnly, "swap": swap,
+			"warm_keys": r.WarmKeys, "least_stage_ms": ms(r.MinStageTime), "ballot_ttl_ms": ms(r.VoteTTL),
 			"api_timeout_ms": ms(r.VoteTimeout), "votes_per_s": r.VotesPerSec, "decided_by": decided}}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -116,25 +116,25 @@
 func Decode(v *fastjson.Value) (logic.Settings, error) {
 	r := &reader{Value: v, where: "settings: "}
 	s := logic.Settings{
-		Self: r.count("me"), Peers: r.count("peers_total"), Zone: r.text("zone"),
-		MaxAttempts: r.count("caps", "max_attempts"), MaxOpen: r.count("caps", "max_open"),
+		Self: r.count("me"), RouterCount: r.count("peers_total"), Zone: r.text("zone"),
+		MaxAttempts: r.count("caps", "max_attempts"), MaxOpenRequests: r.count("caps", "max_open"),
 		MaxRetryAfter: r.ms("caps", "max_retry_after_ms"),
 		MarksRetry:    r.flag("client_habits", "marks_retry"), CanProbe: r.flag("caps", "probes"),
 		CanPost: r.flag("caps", "peers"), CanCancel: r.flag("caps", "cancel"),
-		AskDiscovery: r.text("registry_mode") == "subscribe", AskWithin: r.ms("rules", "ask_within_ms"),
-		Tick: r.ms("tick_ms"), DrainGrace: r.ms("rules", "drain_grace_ms"), ColdFrom: r.number("rules", "cold_from"),
-		ColdTime: r.ms("rules", "cold_ms"), FallMultiple: r.number("rules", "fall_multiple"),
-		FallTime: r.ms("rules", "fall_ms"), CrossZoneCost: r.number("deductions", "cross_zone"),
-		HandshakeCost: r.number("deductions", "handshake"),
-		OverShare:     r.number("over_share_worth"), ConnIdle: r.ms("caps", "conn_idle_ms"),
+		WatchDiscovery: r.text("registry_mode") == "subscribe", WatchWithin: r.ms("rules", "ask_within_ms"),
+		ClockResolution: r.ms("tick_ms"), DrainGrace: r.ms("rules", "drain_grace_ms"), ColdCapacity: r.number("rules", "cold_from"),
+		WarmUpTime: r.ms("rules", "cold_ms"), OverloadMultiple: r.number("rules", "fall_multiple"),
+		OverloadTime: r.ms("rules", "fall_ms"), CrossZoneCost: r.number("deductions", "cross_zone"),
+		HandshakeCost:  r.number("deductions", "handshake"),
+		OverShareWorth: r.number("over_share_worth"), ConnIdleTimeout: r.ms("caps", "conn_idle_ms"),
 		Rollout: logic.Rollout{
 			StageShare: r.numbers("family_info", "steps"), StageCap: r.numbers("family_info", "exposure_caps"),
-			Window: r.ms("family_info", "exposure_window_ms"), Free: r.number("family_info", "free"),
-			PerClass: r.text("family_info", "counts") == "per_lane", ClosedStages: r.count("family_info", "closed_stages"),
-			ForwardOnly: r.flag("family_info", "forward_only"), Rolling: r.text("family_info", "swap") == "rolling",
-			WarmKeys: r.flag("family_info", "warm_keys"), MinStage: r.ms("family_info", "least_stage_ms"),
+			ExposureWindow: r.ms("family_info", "exposure_window_ms"), FreeAttempts: r.number("family_info", "free"),
+			BudgetPerClass: r.text("family_info", "counts") == "per_lane", ClosedStages: r.count("family_info", "closed_stages"),
+			ForwardOnly: r.flag("family_info", "forward_only"), RollingUpdate: r.text("family_info", "swap") == "rolling",
+			WarmKeys: r.flag("family_info", "warm_keys"), MinStageTime: r.ms("family_info", "least_stage_ms"),
 			VoteTTL: r.ms("family_info", "ballot_ttl_ms"), VoteTimeout: r.ms("family_info", "api_timeout_ms"),
-			VotesPerSec: r.number("family_info", "votes_per_s"), Clocked: r.text("family_info", "decided_by") == "clocked",
+			VotesPerSec: r.number("family_info", "votes_per_s"), AutoAdvance: r.text("family_info", "decided_by") == "clocked",
 		},
 	}
 	r.ms("caps", "dial_timeout_ms") // the node's own, no decision's
@@ -145,7 +145,7 @@
 	if r.err != nil {
 		return s, r.err
 	}
-	s.Peers = max(s.Peers, s.Self+1) // Danger: a router that refuses to start serves nobody
+	s.RouterCount = max(s.RouterCount, s.Self+1) // Danger: a router that refuses to start serves nobody
 	known := map[string]bool{}
 	for i, c := range classes {
 		class, err := decodeClass(&reader{Value: c, where: fmt.Sprintf("settings: class %d: ", i)})
@@ -182,19 +182,19 @@
 	if !ok && repeat == logic.Keyed {
 		return logic.Class{}, fmt.Errorf("%sunknown group %q", c.where, group)
 	}
-	class := logic.Class{Name: c.text("name"), Repeat: repeat, Scope: scope, DedupWindow: c.ms("window_ms"),
-		Aim: c.ms("aim_ms"), Deadline: c.ms("deadline_ms"), Worth: c.number("worth"), LateValue: c.number("late_value")}
+	class := logic.Class{Name: c.text("name"), Repeatability: repeat, DedupScope: scope, DedupWindow: c.ms("window_ms"),
+		LatencyTarget: c.ms("aim_ms"), Deadline: c.ms("deadline_ms"), Worth: c.number("worth"), LateValue: c.number("late_value")}
 	switch {
 	case c.err != nil:
 		return class, c.err
 	case class.Name == "":
 		return class, fmt.Errorf("%sno name", c.where)
-	case class.Aim == 0 && class.Deadline == 0:
+	case class.LatencyTarget == 0 && class.Deadline == 0:
 		return class, fmt.Errorf("%sneither aim_ms nor deadline_ms", c.where)
-	case class.Aim == 0:
-		class.Aim = class.Deadline
+	case class.LatencyTarget == 0:
+		class.LatencyTarget = class.Deadline
 	case class.Deadline == 0:
-		class.Deadline = class.Aim
+		class.Deadline = class.LatencyTarget
 	}
 	return class, nil
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -16,7 +16,7 @@
 var outcomes = map[uint64]logic.Outcome{200: logic.OK, 502: logic.ServerError, 429: logic.Rejected,
 	408: logic.TimedOut, 521: logic.ConnectFailed, 520: logic.Reset, 444: logic.Cancelled, 409: logic.NotSent}
 
-var replies = map[uint64]logic.VoteReply{200: logic.VoteCounts, 409: logic.VoteMoot, 429: logic.VoteThrottled,
+var replies = map[uint64]logic.VoteReply{200: logic.VoteCounted, 409: logic.VoteStale, 429: logic.VoteThrottled,
 	502: logic.VoteError, 408: logic.VoteTimedOut}
 
 var states = map[string]logic.ServerState{"SERVING": logic.Ready, "DRAINING": logic.Draining, "DELETED": logic.Gone}
@@ -218,8 +218,8 @@
 	case "job_in":
 		in.Event = request(f)
 	case "resolved":
-		in.Event = logic.AttemptDone{ID: logic.RequestID(f.text(0)), Outcome: f.outcome(1), Took: f.millis(2),
-			Server: logic.ServerID(f.uint(3)), Attempt: int(f.uint(4)), Final: f.bool(5), Load: f.load(6)}
+		in.Event = logic.AttemptDone{ID: logic.RequestID(f.text(0)), Outcome: f.outcome(1), Duration: f.millis(2),
+			Server: logic.ServerID(f.uint(3)), Attempt: int(f.uint(4)), RequestEnded: f.bool(5), Load: f.load(6)}
 	case "fired":
 		in.Event = logic.TimerFired{Token: f.uint(0)}
 	case "gone":
@@ -227,7 +227,7 @@
 	case "ack_first":
 		in.Event = logic.AnswerStarted{ID: logic.RequestID(f.text(0)), Attempt: int(f.uint(1))}
 	case "health":
-		in.Event = logic.ProbeDone{Server: logic.ServerID(f.uint(0)), Outcome: f.outcome(1), Took: f.millis(2),
+		in.Event = logic.ProbeDone{Server: logic.ServerID(f.uint(0)), Outcome: f.outcome(1), Duration: f.millis(2),
 			Load: f.load(3)}
 	case "message":
 		data, hexErr := hex.DecodeString(f.text(1))
@@ -239,9 +239,9 @@
 		in.Event = release(f)
 	case "scorecard":
 		in.Event = logic.BuildTally{Build: logic.BuildID(f.uint(0)), Class: f.text(1), Count: int(f.uint(2)),
-			Failed: int(f.uint(3)), Mean: f.optMillis(4), Age: f.millis(5)}
+			Failed: int(f.uint(3)), MeanDuration: f.optMillis(4), Age: f.millis(5)}
 	case "objection":
-		in.Event = logic.AnswerDisputed{Server: logic.ServerID(f.uint(0)), Class: f.text(1), Age: f.millis(2)}
+		in.Event = logic.AnswerDisputed{Server: logic.ServerID(f.uint(0)), Class: f.text(1), AttemptAge: f.millis(2)}
 	case "pool":
 		skip = true
 		if id, entries := int(f.uint(0)), f.at(1, fastjson.TypeArray, true); f.err == nil {
@@ -263,7 +263,7 @@
 }
 
 func request(f *fields) logic.Event {
-	r := logic.RequestArrived{ID: logic.RequestID(f.text(0)), Class: f.text(1), Left: f.millis(4)}
+	r := logic.RequestArrived{ID: logic.RequestID(f.text(0)), Class: f.text(1), TimeLeft: f.millis(4)}
 	if len(f.v) > 2 { // sites without tenants send 0 or nothing
 		r.Tenant = string(f.v[2].GetStringBytes())
 	}
@@ -275,9 +275,9 @@
 		bits = v.GetUint64()
 	}
 	if bits&1 != 0 {
-		r.Hint = f.optMillis(5)
+		r.ExpectedWork = f.optMillis(5)
 	}
-	r.Retry = bits&2 != 0
+	r.MarkedRetry = bits&2 != 0
 	return r
 }
 
@@ -288,10 +288,10 @@
 		f.err = fmt.Errorf("release_state: unknown how %d", f.uint(4))
 	}
 	e := logic.ReleaseStatus{IsReply: f.uint(3) == 1, Reply: reply}
-	if reply != logic.VoteCounts {
+	if reply != logic.VoteCounted {
 		return e
 	}
-	e.Build, e.Stage, e.Cap, e.Age = logic.BuildID(f.uint(0)), int(f.uint(1)), f.float(5), f.millis(6)
+	e.Build, e.Stage, e.Cap, e.StageAge = logic.BuildID(f.uint(0)), int(f.uint(1)), f.float(5), f.millis(6)
 	phase := f.uint(2)
 	if phase > uint64(logic.Withdrawn) && f.err == nil {
 		f.err = fmt.Errorf("release_state: unknown standing %d", phase)
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -108,11 +108,11 @@
 
 func verdictCode(v logic.Verdict) int {
 	switch v {
-	case logic.VoteOn:
+	case logic.VoteAdvance:
 		return 1
 	case logic.VoteHold:
 		return 2
-	case logic.VoteBack:
+	case logic.VoteRollBack:
 		return 3
 	default:
 		return 0
--- a/logic/api.go
+++ b/logic/api.go
@@ -36,14 +36,14 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name        string
-	Repeat      Repeatability
-	Scope       DedupScope
-	DedupWindow time.Duration
-	Aim         time.Duration // an answer within this earns the full worth
-	Deadline    time.Duration
-	Worth       float64
-	LateValue   float64
+	Name          string
+	Repeatability Repeatability
+	DedupScope    DedupScope
+	DedupWindow   time.Duration
+	LatencyTarget time.Duration // an answer within this earns the full worth
+	Deadline      time.Duration
+	Worth         float64
+	LateValue     float64
 }
 
 // Tenant is a customer with a share of the service.
@@ -55,48 +55,48 @@
 
 // Rollout holds the release platform's settings.
 type Rollout struct {
-	StageShare   []float64 // per stage: share of the fleet's places
-	StageCap     []float64 // per stage: cap on exposure
-	Window       time.Duration
-	Free         float64
-	PerClass     bool
-	ClosedStages int // below this stage only Safe classes may try the build
-	ForwardOnly  bool
-	Rolling      bool // earlier servers drain as their successors run
-	WarmKeys     bool // servers work faster for keys met lately
-	MinStage     time.Duration
-	VoteTTL      time.Duration
-	VoteTimeout  time.Duration
-	VotesPerSec  float64
-	Clocked      bool // stages advance on their own; votes can only hold or send back
+	StageShare     []float64 // per stage: share of the fleet's places
+	StageCap       []float64 // per stage: cap on exposure
+	ExposureWindow time.Duration
+	FreeAttempts   float64
+	BudgetPerClass bool
+	ClosedStages   int // below this stage only Safe classes may try the build
+	ForwardOnly    bool
+	RollingUpdate  bool // earlier servers drain as their successors run
+	WarmKeys       bool // servers work faster for keys met lately
+	MinStageTime   time.Duration
+	VoteTTL        time.Duration
+	VoteTimeout    time.Duration
+	VotesPerSec    float64
+	AutoAdvance    bool // stages advance on their own; votes can only hold or send back
 }
 
 // Settings is what a router learns at start-up.
 type Settings struct {
-	Self, Peers   int
-	Zone          string
-	Classes       []Class
-	Tenants       []Tenant
-	Rollout       Rollout
-	MaxAttempts   int
-	MaxOpen       int // requests that the host can hold open for it; zero: any number
-	MaxRetryAfter time.Duration
-	MarksRetry    bool // clients mark their repeats
-	CanProbe      bool
-	CanPost       bool
-	CanCancel     bool
-	AskDiscovery  bool // discovery must be asked for changes
-	AskWithin     time.Duration
-	Tick          time.Duration
-	DrainGrace    time.Duration
-	ConnIdle      time.Duration // idle connections are closed after this long
-	ColdFrom      float64
-	ColdTime      time.Duration
-	FallMultiple  float64
-	FallTime      time.Duration
-	CrossZoneCost float64 // price of a request that crosses zones
-	HandshakeCost float64 // price of a new connection for each request
-	OverShare     float64 // worth of a request beyond its tenant's share
+	Self, RouterCount int
+	Zone              string
+	Classes           []Class
+	Tenants           []Tenant
+	Rollout           Rollout
+	MaxAttempts       int
+	MaxOpenRequests   int // requests that the host can hold open for it; zero: any number
+	MaxRetryAfter     time.Duration
+	MarksRetry        bool // clients mark their repeats
+	CanProbe          bool
+	CanPost           bool
+	CanCancel         bool
+	WatchDiscovery    bool // discovery must be asked for changes
+	WatchWithin       time.Duration
+	ClockResolution   time.Duration
+	DrainGrace        time.Duration
+	ConnIdleTimeout   time.Duration // idle connections are closed after this long
+	ColdCapacity      float64
+	WarmUpTime        time.Duration
+	OverloadMultiple  float64
+	OverloadTime      time.Duration
+	CrossZoneCost     float64 // price of a request that crosses zones
+	HandshakeCost     float64 // price of a new connection for each request
+	OverShareWorth    float64 // worth of a request beyond its tenant's share
 }
 
 // ServerState is a server's place in its life.
@@ -158,15 +158,15 @@
 	}
 	// RequestArrived hands a request to the router, which owes one final answer.
 	RequestArrived struct {
-		ID     RequestID
-		Class  string
-		Tenant string
-		Key    uint64
-		HasKey bool
-		Left   time.Duration // until the client gives up
-		Hint   time.Duration // expected work; zero where unknown
-		Retry  bool          // marked by the client as a repeat
-		Zone   string        // only servers there will do; empty: any
+		ID           RequestID
+		Class        string
+		Tenant       string
+		Key          uint64
+		HasKey       bool
+		TimeLeft     time.Duration // until the client gives up
+		ExpectedWork time.Duration // expected work; zero where unknown
+		MarkedRetry  bool          // marked by the client as a repeat
+		RequiredZone string        // only servers there will do; empty: any
 	}
 	// AnswerStarted tells that a streamed answer has begun.
 	AnswerStarted struct {
@@ -175,14 +175,14 @@
 	}
 	// AttemptDone ends an attempt.
 	AttemptDone struct {
-		ID      RequestID
-		Outcome Outcome
-		Took    time.Duration
-		Server  ServerID
-		Attempt int
-		Final   bool // the request has ended
-		Begun   bool // a good answer had begun to come, though it is of no use
-		Load    *Load
+		ID           RequestID
+		Outcome      Outcome
+		Duration     time.Duration
+		Server       ServerID
+		Attempt      int
+		RequestEnded bool // the request has ended
+		AnswerBegun  bool // a good answer had begun to come, though it is of no use
+		Load         *Load
 	}
 	// ClientGone ends a request without an answer.
 	ClientGone struct{ ID RequestID }
@@ -190,10 +190,10 @@
 	TimerFired struct{ Token uint64 }
 	// ProbeDone answers a Probe.
 	ProbeDone struct {
-		Server  ServerID
-		Outcome Outcome
-		Took    time.Duration
-		Load    *Load
+		Server   ServerID
+		Outcome  Outcome
+		Duration time.Duration
+		Load     *Load
 	}
 	// PeerMessage is another router's message.
 	PeerMessage struct {
@@ -202,26 +202,26 @@
 	}
 	// ReleaseStatus is the platform's news on the newest build, or its reply to a vote.
 	ReleaseStatus struct {
-		Build   BuildID
-		Stage   int
-		Phase   Phase
-		IsReply bool
-		Reply   VoteReply
-		Cap     float64
-		Age     time.Duration
+		Build    BuildID
+		Stage    int
+		Phase    Phase
+		IsReply  bool
+		Reply    VoteReply
+		Cap      float64
+		StageAge time.Duration
 	}
 	// BuildTally is the platform's own sample of outcomes.
 	BuildTally struct {
-		Build         BuildID
-		Class         string
-		Count, Failed int
-		Mean, Age     time.Duration
+		Build             BuildID
+		Class             string
+		Count, Failed     int
+		MeanDuration, Age time.Duration
 	}
 	// AnswerDisputed reports an answer that its client found wrong.
 	AnswerDisputed struct {
-		Server ServerID
-		Class  string
-		Age    time.Duration // since that attempt was sent
+		Server     ServerID
+		Class      string
+		AttemptAge time.Duration // since that attempt was sent
 	}
 )
 
@@ -231,7 +231,7 @@
 // Phases of a build.
 const (
 	OnTrial Phase = iota
-	GoingBack
+	RollingBack
 	Released
 	Withdrawn
 )
@@ -241,8 +241,8 @@
 
 // Replies to votes.
 const (
-	VoteCounts VoteReply = iota
-	VoteMoot
+	VoteCounted VoteReply = iota
+	VoteStale
 	VoteThrottled
 	VoteError
 	VoteTimedOut // may count
@@ -254,9 +254,9 @@
 // Verdicts.
 const (
 	VoteNone Verdict = iota
-	VoteOn
+	VoteAdvance
 	VoteHold
-	VoteBack
+	VoteRollBack
 )
 
 // Action is one thing the host is asked to do, in order.
@@ -269,11 +269,11 @@
 	// to an earlier build: once this attempt has left, and again once it is answered, none for the same key that was
 	// decided before, and for an earlier build, may leave any more.
 	Send struct {
-		ID      RequestID
-		Server  ServerID
-		Timeout time.Duration
-		LeaveBy time.Duration
-		Forward bool
+		ID          RequestID
+		Server      ServerID
+		Timeout     time.Duration
+		SendBy      time.Duration
+		ForwardOnly bool
 	}
 	// Cancel stops waiting for an attempt.
 	Cancel struct {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -98,7 +98,7 @@
 	case !r.begun:
 		r.begun, r.tickDue = true, now+tickEvery
 		r.do(SetTimer{After: tickEvery, Token: 1})
-		if r.s.AskDiscovery {
+		if r.s.WatchDiscovery {
 			r.do(Watch{})
 		}
 	case now > r.tickDue+stallAfter:
@@ -150,7 +150,7 @@
 	r.gate = r.coldGate(r.base)
 	r.adjustLimit()
 	r.drainQueue()
-	if r.s.CanPost && r.s.Peers > 1 {
+	if r.s.CanPost && r.s.RouterCount > 1 {
 		r.report()
 		r.share()
 	}
@@ -211,7 +211,7 @@
 		return true
 	}
 	rate := ramp * r.coldRate() * r.groupOf(s.Build).spread() // others keep away
-	depth := max(1, rate*r.s.FallTime.Seconds()/8)
+	depth := max(1, rate*r.s.OverloadTime.Seconds()/8)
 	s.spent = max(0, s.spent-rate*(r.now-s.spentAt).Seconds())
 	s.spentAt = r.now
 	if spend {
@@ -223,10 +223,10 @@
 // coldRate is what this router may send to a server a second, by the part of its capacity that it has.
 func (r *Router) coldRate() float64 {
 	places := max(1, len(r.base.all), len(r.trial.all))
-	if r.s.Rollout.Rolling {
+	if r.s.Rollout.RollingUpdate {
 		places = max(places, r.ready)
 	}
-	return coldPart * r.s.FallMultiple * max(r.carried, leastCarried*r.rate) / float64(places)
+	return coldPart * r.s.OverloadMultiple * max(r.carried, leastCarried*r.rate) / float64(places)
 }
 
 // coldGate is the part of its requests that a router may send to a group with cold servers in it. Danger: of
@@ -299,7 +299,7 @@
 // mayTry tells whether an attempt of this class may go to the build on trial now, and takes it if asked.
 func (r *Router) mayTry(build BuildID, c *class, take bool) bool {
 	limit, stage := r.trialCap(build)
-	if limit <= 0 || stage < r.s.Rollout.ClosedStages && c.Repeat != Safe {
+	if limit <= 0 || stage < r.s.Rollout.ClosedStages && c.Repeatability != Safe {
 		return false
 	}
 	b := r.budget(build, c)
@@ -307,7 +307,7 @@
 		b.earned -= float64(count(take))
 		return true
 	}
-	old := r.now - r.s.Rollout.Window - r.s.Tick
+	old := r.now - r.s.Rollout.ExposureWindow - r.s.ClockResolution
 	i := slices.IndexFunc(b.slots, func(used time.Duration) bool { return used < old })
 	if i >= 0 && take {
 		b.slots[i] = r.now
@@ -363,7 +363,7 @@
 // Exception, where the new machines are too few or too cold to carry that: their part of the fleet.
 func (r *Router) trialChance(c *class) float64 {
 	limit, stage := r.trialCap(r.trialID)
-	if stage < r.s.Rollout.ClosedStages && c.Repeat != Safe {
+	if stage < r.s.Rollout.ClosedStages && c.Repeatability != Safe {
 		return 0
 	}
 	places, fresh := float64(r.fitOf(r.base)), 0.0
@@ -378,7 +378,7 @@
 	if r.alone { // busier servers would pass for a worse build, and no spill evens them out without news
 		places += fresh
 		fresh *= max(0, 1-lateSpare*r.lateness) // where much is late, a little slower is much later
-	} else if r.s.Rollout.Rolling {
+	} else if r.s.Rollout.RollingUpdate {
 		places += float64(len(r.trial.all))
 	}
 	return min(trialPart*limit, fresh/places)
@@ -446,10 +446,10 @@
 
 // repeatOK tells whether an attempt here would keep to the request's zone and to the rule on repeats.
 func (r *Router) repeatOK(q *request, s *server) bool {
-	over := q.class.Repeat == Unsafe || r.now+r.s.Tick >= q.repeatBy()
-	same := q.class.Scope == ScopeAll || q.class.Scope == ScopeZone && s.Zone == q.ranOn.Zone ||
-		q.class.Scope == ScopeCell && s.Cell == q.ranOn.Cell
-	return (q.Zone == "" || s.Zone == q.Zone) && (!q.mayRan || q.class.Repeat == Safe || !over && same)
+	over := q.class.Repeatability == Unsafe || r.now+r.s.ClockResolution >= q.repeatBy()
+	same := q.class.DedupScope == ScopeAll || q.class.DedupScope == ScopeZone && s.Zone == q.ranOn.Zone ||
+		q.class.DedupScope == ScopeCell && s.Cell == q.ranOn.Cell
+	return (q.RequiredZone == "" || s.Zone == q.RequiredZone) && (!q.mayRan || q.class.Repeatability == Safe || !over && same)
 }
 
 // choose finds the server for a request's next attempt, or nil where it has to wait.
@@ -488,16 +488,16 @@
 func (r *Router) arrive(e RequestArrived) {
 	c := r.classes[e.Class]
 	if c == nil { // a class outside the settings is treated as the strictest
-		c = &class{Class: Class{Name: e.Class, Repeat: Unsafe, Aim: e.Left, Deadline: e.Left, Worth: 1}}
+		c = &class{Class: Class{Name: e.Class, Repeatability: Unsafe, LatencyTarget: e.TimeLeft, Deadline: e.TimeLeft, Worth: 1}}
 	}
-	q := &request{RequestArrived: e, class: c, arrived: r.now, deadline: r.now + e.Left, order: c.Worth}
+	q := &request{RequestArrived: e, class: c, arrived: r.now, deadline: r.now + e.TimeLeft, order: c.Worth}
 	r.reqs[e.ID], q.luck = q, r.rng.Float64()
 	r.arrived++
-	r.unserved += float64(count(e.Retry)) // of a request that was counted before
+	r.unserved += float64(count(e.MarkedRetry)) // of a request that was counted before
 	if t := r.tenants[e.Tenant]; t != nil {
 		t.came++
 		if t.rate > overShareEdge*t.part*r.rate {
-			q.order *= r.s.OverShare
+			q.order *= r.s.OverShareWorth
 		}
 	}
 	if limit, _ := r.trialCap(r.trialID); r.trialID != 0 { // every request earns its part of an attempt
@@ -554,7 +554,7 @@
 	q.attempts++
 	s.inFlight++
 	r.inFlight++
-	r.do(Send{ID: q.ID, Server: s.ID, LeaveBy: q.repeatBy(), Forward: r.s.Rollout.ForwardOnly && q.HasKey})
+	r.do(Send{ID: q.ID, Server: s.ID, SendBy: q.repeatBy(), ForwardOnly: r.s.Rollout.ForwardOnly && q.HasKey})
 	return true
 }
 
@@ -583,17 +583,17 @@
 	if e.Outcome == OK {
 		r.served++
 		if !q.sentTrial { // else a slow build would pass for slow connecting
-			blend(&r.slowness[count(q.connects)], symptomStep, e.Took.Seconds()/q.class.Aim.Seconds())
+			blend(&r.slowness[count(q.connects)], symptomStep, e.Duration.Seconds()/q.class.LatencyTarget.Seconds())
 		}
-		blend(&q.class.took, 0.05, e.Took.Seconds())
+		blend(&q.class.took, 0.05, e.Duration.Seconds())
 	}
-	if q.HasKey && r.s.Rollout.ForwardOnly && (e.Outcome == OK || e.Begun) {
+	if q.HasKey && r.s.Rollout.ForwardOnly && (e.Outcome == OK || e.AnswerBegun) {
 		r.sticky[q.Key] = max(r.sticky[q.Key], q.to.Build)
 	}
 	if e.Outcome.MayHaveRun() && !q.mayRan {
 		q.mayRan, q.ranAt, q.ranOn = true, q.sentAt, q.to
 	}
-	if e.Final || q.ended {
+	if e.RequestEnded || q.ended {
 		delete(r.reqs, q.ID)
 	} else {
 		r.again(q, e.Outcome)
@@ -602,7 +602,9 @@
 }
 
 // connected tells that a connection to a server should be open.
-func (r *Router) connected(s *server) bool { return s.usedAt > 0 && r.now <= s.usedAt+r.s.ConnIdle }
+func (r *Router) connected(s *server) bool {
+	return s.usedAt > 0 && r.now <= s.usedAt+r.s.ConnIdleTimeout
+}
 
 // reaped tells that idle connections are dropped unseen: much more is lost on them than on others. They are
 // closed before a send then, and silent servers show at the connect; it costs handshakes meanwhile.
@@ -612,7 +614,7 @@
 func (r *Router) overdue() {
 	n := [2]int{}
 	for _, q := range r.reqs {
-		if q.out && !q.overdue && r.now > q.sentAt+q.class.Aim {
+		if q.out && !q.overdue && r.now > q.sentAt+q.class.LatencyTarget {
 			q.overdue = true
 			n[count(q.idle)]++
 		}
@@ -648,7 +650,7 @@
 	if q.sentTrial && len(r.base.all) > 0 {
 		return
 	}
-	late := count(e.Outcome == Rejected || e.Outcome == TimedOut || e.Took > q.class.Aim*8/10)
+	late := count(e.Outcome == Rejected || e.Outcome == TimedOut || e.Duration > q.class.LatencyTarget*8/10)
 	r.answers, r.late = r.answers+1, r.late+float64(late)
 	blend(&r.lateness, symptomStep, float64(late))
 }
@@ -656,7 +658,7 @@
 // again tries a request once more where its class permits it, or gives the final answer at once.
 func (r *Router) again(q *request, o Outcome) {
 	vain := q.attempts > 1 || r.anywhere > anywhereMuch && !q.sentTrial && q.luck > anywhereTry
-	spent := o == ServerError && vain || q.attempts >= r.s.MaxAttempts || q.mayRan && q.class.Repeat == Unsafe
+	spent := o == ServerError && vain || q.attempts >= r.s.MaxAttempts || q.mayRan && q.class.Repeatability == Unsafe
 	if spent || r.deadlineNear(q) {
 		r.finish(q)
 	} else if !r.try(q) {
@@ -668,7 +670,7 @@
 
 // finish gives the final answer: a refusal where trying again is harmless, else a failure.
 func (r *Router) finish(q *request) {
-	if !q.mayRan || q.class.Repeat == Safe || q.class.Scope == ScopeAll && r.now < q.repeatBy() {
+	if !q.mayRan || q.class.Repeatability == Safe || q.class.DedupScope == ScopeAll && r.now < q.repeatBy() {
 		r.do(Refuse{ID: q.ID, RetryAfter: r.s.MaxRetryAfter / 2})
 	} else {
 		r.do(Fail{ID: q.ID})
@@ -700,7 +702,7 @@
 	} else if float64(r.inFlight) > 0.7*r.limit {
 		r.limit++
 	}
-	r.limit = max(r.limit, 2, limitStart/2*float64(len(r.list))/float64(max(1, r.s.Peers)))
+	r.limit = max(r.limit, 2, limitStart/2*float64(len(r.list))/float64(max(1, r.s.RouterCount)))
 	r.answers, r.late = 0, 0
 }
 
@@ -720,11 +722,11 @@
 // where more is held than there is room for, else the next ones would be refused unseen. Danger: where no
 // server may be used, a search for each that waits takes all the time; one tries for all that fare alike.
 func (r *Router) drainQueue() {
-	room := cmp.Or(r.s.MaxOpen, math.MaxInt) - r.inFlight
+	room := cmp.Or(r.s.MaxOpenRequests, math.MaxInt) - r.inFlight
 	r.pass++
 	r.waiting = slices.DeleteFunc(r.waiting, func(q *request) bool {
 		room--
-		wait := min(q.class.Aim, q.Left>>count(q.attempts == 0)-tickEvery) // unsent: half its time
+		wait := min(q.class.LatencyTarget, q.TimeLeft>>count(q.attempts == 0)-tickEvery) // unsent: half its time
 		late := r.deadlineNear(q) || r.now+time.Duration(q.class.took*1e9) > q.arrived+wait
 		if !q.ended && (late || room < 0) {
 			r.finish(q)
@@ -743,12 +745,12 @@
 // evidence counts a first attempt of a class allowed at the present stage, in both arms alike, so that the
 // mix of classes is no harm. Servers that may be cold do not count. Counts go on after the release.
 func (r *Router) evidence(q *request, e AttemptDone) {
-	c, took := q.class, e.Took.Seconds()
+	c, took := q.class, e.Duration.Seconds()
 	if q.sentRel.Phase != OnTrial && e.Outcome == OK {
 		c.times[c.next%len(c.times)] = took
 		c.next++
 	}
-	closed := r.rel.Phase == OnTrial && r.rel.Stage < r.s.Rollout.ClosedStages && c.Repeat != Safe
+	closed := r.rel.Phase == OnTrial && r.rel.Stage < r.s.Rollout.ClosedStages && c.Repeatability != Safe
 	group := r.groupOf(q.to.Build)
 	// Danger: one sick host passes for a bad build. What a host fails in a row is its own doing while most of
 	// its build are fit, and so is what it fails far more than they, if some old ones do too; a build's first
@@ -762,13 +764,13 @@
 		return
 	}
 	timed := c.mark > 0 && !(r.alone && q.connects) // met anew at nearly all requests
-	one := Arm{N: 1, Miss: count(e.Outcome != OK || e.Took > c.Aim), Err: count(e.Outcome == ServerError),
-		Timed: count(timed), Slow: count(timed && took > c.mark)}
+	one := Arm{Attempts: 1, Missed: count(e.Outcome != OK || e.Duration > c.LatencyTarget), Errors: count(e.Outcome == ServerError),
+		Measured: count(timed), Slow: count(timed && took > c.mark)}
 	q.first = first{Arm: one, build: q.to.Build, rel: q.sentRel}
 	if e.Outcome != OK {
 		q.first.failed = q.server
 	}
-	if one.Err == 0 {
+	if one.Errors == 0 {
 		r.tally(q)
 	}
 }
@@ -778,10 +780,10 @@
 // Nor does one that a second try could judge and has not (o nil), or where most are the requests' own. It
 // hurts where a build fails nearly all of a class after its release: fewer of its errors count.
 func (r *Router) second(q *request, o *Outcome) {
-	if q.first.Err == 0 {
+	if q.first.Errors == 0 {
 		return
 	}
-	own := r.anywhere > anywhereMuch || q.class.Repeat != Unsafe
+	own := r.anywhere > anywhereMuch || q.class.Repeatability != Unsafe
 	fresh := len(r.base.all) == 0 || r.rel.Phase == Released && r.now < r.stageAt+fleetTime // no other to ask
 	if o != nil && (*o == OK || *o == ServerError) {
 		own = *o != OK
@@ -797,13 +799,13 @@
 // disputed counts a flagged answer, counted as served before, as failed.
 func (r *Router) disputed(e AnswerDisputed) {
 	s := r.servers[e.Server]
-	if s == nil || r.now-e.Age < s.Started {
+	if s == nil || r.now-e.AttemptAge < s.Started {
 		return // the build that gave the answer is not known any more
 	}
 	for _, c := range []*Counts{&r.total, &r.counts} {
 		a := c.arm(s.Build == r.rel.Build)
-		if a.Miss < a.N && (c == &r.total || r.now-e.Age >= r.stageAt) {
-			a.Miss, a.Wrong = a.Miss+1, a.Wrong+1
+		if a.Missed < a.Attempts && (c == &r.total || r.now-e.AttemptAge >= r.stageAt) {
+			a.Missed, a.Wrong = a.Missed+1, a.Wrong+1
 		}
 	}
 }
@@ -828,7 +830,7 @@
 	data := r.own().Encode()
 	r.reportAt = r.now + min(max(r.paid(len(data)*voters, reportBytes), reportEvery), 8*reportEvery)
 	for _, v := range r.voters {
-		if v != r.s.Self && (r.rel.Phase == OnTrial || r.rel.Phase == Released && r.total.Old.N > 0) {
+		if v != r.s.Self && (r.rel.Phase == OnTrial || r.rel.Phase == Released && r.total.Old.Attempts > 0) {
 			r.do(Post{Peer: v, Data: data})
 		}
 	}
@@ -845,7 +847,7 @@
 	if r.now < r.shareAt {
 		return
 	}
-	all, failed := InFlight{}, InFlight{}
+	all, failed := InFlightReport{}, InFlightReport{}
 	for _, s := range r.list {
 		if s.inFlight > 0 || s.failed {
 			all = append(all, BusyServer{shortID(s.ID), s.inFlight, s.failed, s.failedErr})
@@ -854,8 +856,8 @@
 			failed = append(failed, BusyServer{shortID(s.ID), 0, true, s.failedErr})
 		}
 	}
-	price := func(m InFlight) time.Duration {
-		return max(r.paid((busyHead+len(m.Encode()))*(r.s.Peers-1), busyBytes), busyLife/10)
+	price := func(m InFlightReport) time.Duration {
+		return max(r.paid((busyHead+len(m.Encode()))*(r.s.RouterCount-1), busyBytes), busyLife/10)
 	}
 	period := price(all)
 	if r.alone = period > busyLife; r.alone {
@@ -878,16 +880,16 @@
 
 // hear takes a peer's message; what is malformed or impossible is dropped.
 func (r *Router) hear(e PeerMessage) {
-	if e.From < 0 || e.From >= r.s.Peers || e.From == r.s.Self {
+	if e.From < 0 || e.From >= r.s.RouterCount || e.From == r.s.Self {
 		return
 	}
-	if busy, err := DecodeInFlight(e.Data); err == nil {
+	if busy, err := DecodeInFlightReport(e.Data); err == nil {
 		r.countBusy(r.told[e.From].busy, -1)
 		r.countBusy(busy, 1)
 		r.told[e.From] = told{busy, r.now}
 		for _, b := range busy {
 			if s := r.short[b.Server]; s != nil && b.Failed {
-				r.ailing(s, b.Erred)
+				r.ailing(s, b.AnsweredError)
 			}
 		}
 		return
@@ -957,7 +959,7 @@
 // votersOf names the routers that vote on a build, in the order in which they do.
 func (r *Router) votersOf(b BuildID) []int {
 	first := make([]int, 0, voters+1)
-	for i := range r.s.Peers {
+	for i := range r.s.RouterCount {
 		at, _ := slices.BinarySearchFunc(first, hash(uint64(b), uint64(i)), func(have int, h uint64) int {
 			return cmp.Compare(hash(uint64(b), uint64(have)), h)
 		})
@@ -978,7 +980,7 @@
 func (r *Router) news(e ReleaseStatus) {
 	if e.IsReply {
 		r.vote.out, r.vote.at = 0, r.now+voteRetry
-		if e.Reply != VoteCounts {
+		if e.Reply != VoteCounted {
 			return // only a vote that counts brings news
 		}
 		r.vote.at = r.now + max(r.s.Rollout.VoteTTL-voteRenew, voteRetry)
@@ -988,7 +990,7 @@
 	}
 	was, known := r.rel, r.relKnown
 	r.rel, r.relKnown = e, true
-	r.bad[e.Build] = e.Phase == GoingBack || e.Phase == Withdrawn
+	r.bad[e.Build] = e.Phase == RollingBack || e.Phase == Withdrawn
 	for k, b := range r.budgets {
 		if k.build == e.Build && e.Cap < was.Cap {
 			b.earned = 0 // a lower cap counts anew
@@ -1008,7 +1010,7 @@
 				r.spans = spans{until: r.now + 8*reportEvery, skip: true}
 			}
 		}
-		r.counts, r.vote, r.stageAt = Counts{}, voteState{}, r.now-e.Age
+		r.counts, r.vote, r.stageAt = Counts{}, voteState{}, r.now-e.StageAge
 		clear(r.seen)
 	}
 	r.regroup()
@@ -1029,38 +1031,38 @@
 		r.spans.until = r.now + spanLength
 	}
 	verdict, why := VoteNone, ""
-	if v.verdict != VoteBack && r.now >= v.guardAt {
+	if v.verdict != VoteRollBack && r.now >= v.guardAt {
 		v.guardAt = r.now + guardEvery/time.Duration(1+4*count(r.rel.Cap >= fleetCap)) // it goes on soon
 		if r.guard(total) {
-			verdict, why = VoteBack, "errors"
+			verdict, why = VoteRollBack, "errors"
 		} else if r.slowed(stage) {
-			verdict, why = VoteBack, "the fleet slowed"
+			verdict, why = VoteRollBack, "the fleet slowed"
 		}
 	}
 	if !v.tested && r.rel.Phase == OnTrial && verdict == VoteNone {
 		due, least := r.stageAt+2*stageTimeout, r.stageAt+2*stageTimeout // also if none gets listed
 		if r.listedAt > r.stageAt {
-			due, least = r.listedAt+stageTimeout, r.listedAt+r.s.Rollout.MinStage
+			due, least = r.listedAt+stageTimeout, r.listedAt+r.s.Rollout.MinStageTime
 		}
-		if r.now < due && (stage.New.N < horizon || r.now < least) {
+		if r.now < due && (stage.New.Attempts < horizon || r.now < least) {
 			return
 		}
 		old, fresh := stage.Old, stage.New
-		verdict, why = VoteOn, "no harm seen"
-		if harm(r.rng, old.N, old.Miss, fresh.N, fresh.Miss, margin) < level {
-			verdict, why = VoteBack, "served less in time"
-		} else if fresh.Timed >= horizon &&
-			harm(r.rng, old.Timed, old.Slow, fresh.Timed, fresh.Slow, slowMargin) < level {
-			verdict, why = VoteBack, "slower answers"
+		verdict, why = VoteAdvance, "no harm seen"
+		if harm(r.rng, old.Attempts, old.Missed, fresh.Attempts, fresh.Missed, margin) < level {
+			verdict, why = VoteRollBack, "served less in time"
+		} else if fresh.Measured >= horizon &&
+			harm(r.rng, old.Measured, old.Slow, fresh.Measured, fresh.Slow, slowMargin) < level {
+			verdict, why = VoteRollBack, "slower answers"
 		}
 	}
 	if verdict != VoteNone {
-		wait := map[Verdict]time.Duration{VoteOn: voteStagger, VoteBack: voteStagger / 3}[verdict]
+		wait := map[Verdict]time.Duration{VoteAdvance: voteStagger, VoteRollBack: voteStagger / 3}[verdict]
 		v.tested, v.verdict, v.at = true, verdict, r.now+time.Duration(rank)*wait
 		r.do(Log{fmt.Sprintf("build %d stage %d: %s; old, new (n miss err slow wrong): %v total %v",
 			r.rel.Build, r.rel.Stage, why, stage, total)})
 	}
-	moves := v.verdict == VoteOn && r.s.Rollout.Clocked // the stage does by itself
+	moves := v.verdict == VoteAdvance && r.s.Rollout.AutoAdvance // the stage does by itself
 	if !v.tested || moves || v.out != 0 && r.now < v.out+r.s.Rollout.VoteTimeout+voteRetry || r.now < v.at {
 		return
 	}
@@ -1092,19 +1094,19 @@
 	wide := r.rel.Cap >= fleetCap && (r.rel.Phase == OnTrial || r.now < r.stageAt+fleetTime)
 	demand, usual, before := r.pooledDemand()
 	r.vote.busy = r.vote.busy || r.connectsSlow() || demand >= busyDemand*usual // counts hold another cause
-	if old := stage.Old; r.rel.Stage == 0 && !wide && !r.vote.busy && old.Timed >= horizon {
-		r.slowEarly = max(1-slowPart, share(old.Slow, old.Timed)) // not the build's doing yet
+	if old := stage.Old; r.rel.Stage == 0 && !wide && !r.vote.busy && old.Measured >= horizon {
+		r.slowEarly = max(1-slowPart, share(old.Slow, old.Measured)) // not the build's doing yet
 	}
 	stage.Old = map[bool]Arm{true: stage.Old}[len(r.base.all) > 0] // of earlier servers, if some are left
-	if !wide || r.vote.busy || max(stage.Old.Timed, stage.New.Timed) < horizon {
+	if !wide || r.vote.busy || max(stage.Old.Measured, stage.New.Measured) < horizon {
 		return false
 	}
 	near := r.rel.Phase == OnTrial && r.pace() > fleetMuch // else it would have to be late already
 	for _, now := range []Arm{stage.Old, stage.New} {
 		slow := uint32(r.slowEarly * float64(before))
-		more, miss := share(now.Slow, now.Timed)-share(slow, before), share(now.Miss, now.N)
-		if now.Timed >= horizon && (more <= fleetMargin || miss < fleetMiss && (!near || more <= fleetMuch) ||
-			harm(r.rng, before, slow, now.Timed, now.Slow, fleetMargin) >= level) {
+		more, miss := share(now.Slow, now.Measured)-share(slow, before), share(now.Missed, now.Attempts)
+		if now.Measured >= horizon && (more <= fleetMargin || miss < fleetMiss && (!near || more <= fleetMuch) ||
+			harm(r.rng, before, slow, now.Measured, now.Slow, fleetMargin) >= level) {
 			return false
 		}
 	}
--- a/logic/report.go
+++ b/logic/report.go
@@ -8,7 +8,7 @@
 // Arm counts first attempts at one build: all, those not served within the aim, those answered with an
 // error, those with a mark kept from before the trial to be measured by, those slower than it, and those
 // that a client found wrong.
-type Arm struct{ N, Miss, Err, Timed, Slow, Wrong uint32 }
+type Arm struct{ Attempts, Missed, Errors, Measured, Slow, Wrong uint32 }
 
 // Counts holds both arms of a trial.
 type Counts struct{ Old, New Arm }
@@ -16,14 +16,14 @@
 // Report is one router's cumulative counts for one stage of one build, and for all its stages so far. The
 // incarnation tells a restarted router's counts from those it gave before.
 type Report struct {
-	Incarnation uint32
-	Build       BuildID
-	Stage       int
-	Counts      Counts // of the stage
-	Total       Counts // of the build
-	Demand      uint16 // new requests, hundredths a second, now and
-	Usual       uint16 // before the trial; 0: not known
-	Before      uint32 // answers before the trial that the marks come from
+	Incarnation     uint32
+	Build           BuildID
+	Stage           int
+	StageCounts     Counts // of the stage
+	BuildCounts     Counts // of the build
+	Demand          uint16 // new requests, hundredths a second, now and
+	UsualDemand     uint16 // before the trial; 0: not known
+	BaselineAnswers uint32 // answers before the trial that the marks come from
 }
 
 // peerKey names one life of a peer.
@@ -33,14 +33,14 @@
 }
 
 // InFlight tells at which servers a router has attempts out, and where some have failed.
-type InFlight []BusyServer
+type InFlightReport []BusyServer
 
 // BusyServer is one of them, under its short name.
 type BusyServer struct {
-	Server   uint16
-	InFlight int
-	Failed   bool // an attempt there has failed since the last such message
-	Erred    bool // with an error
+	Server        uint16
+	InFlight      int
+	Failed        bool // an attempt there has failed since the last such message
+	AnsweredError bool // with an error
 }
 
 // shortID is a server's name in messages; two servers of a fleet rarely share one.
@@ -88,15 +88,15 @@
 	c.New.plus(d.New)
 }
 
-func (c Counts) size() uint32 { return c.Old.N + c.New.N }
+func (c Counts) size() uint32 { return c.Old.Attempts + c.New.Attempts }
 
 func (a *Arm) fields() [6]*uint32 {
-	return [6]*uint32{&a.N, &a.Miss, &a.Err, &a.Timed, &a.Slow, &a.Wrong}
+	return [6]*uint32{&a.Attempts, &a.Missed, &a.Errors, &a.Measured, &a.Slow, &a.Wrong}
 }
 
 // possible tells whether counts can be cumulative counts of attempts.
 func (a Arm) possible() bool {
-	return a.N <= maxCount && a.Miss <= a.N && a.Err+a.Wrong <= a.Miss && a.Slow <= a.Timed && a.Timed <= a.N
+	return a.Attempts <= maxCount && a.Missed <= a.Attempts && a.Errors+a.Wrong <= a.Missed && a.Slow <= a.Measured && a.Measured <= a.Attempts
 }
 
 // older tells whether another report of the same life of a router was made after this one.
@@ -104,11 +104,11 @@
 	if other.Build != r.Build {
 		return other.Build > r.Build
 	}
-	return other.Stage > r.Stage || other.Stage == r.Stage && other.Total.size() > r.Total.size()
+	return other.Stage > r.Stage || other.Stage == r.Stage && other.BuildCounts.size() > r.BuildCounts.size()
 }
 
 func (r *Report) arms() []*Arm {
-	return []*Arm{&r.Counts.Old, &r.Counts.New, &r.Total.Old, &r.Total.New}
+	return []*Arm{&r.StageCounts.Old, &r.StageCounts.New, &r.BuildCounts.Old, &r.BuildCounts.New}
 }
 
 // Encode gives the report's bytes.
@@ -119,8 +119,8 @@
 	b = binary.BigEndian.AppendUint16(b, uint16(r.Build))
 	b = append(b, byte(r.Stage))
 	b = binary.BigEndian.AppendUint16(b, r.Demand)
-	b = binary.BigEndian.AppendUint16(b, r.Usual)
-	b = binary.AppendUvarint(b, uint64(r.Before))
+	b = binary.BigEndian.AppendUint16(b, r.UsualDemand)
+	b = binary.AppendUvarint(b, uint64(r.BaselineAnswers))
 	for _, a := range r.arms() {
 		for _, c := range a.fields() {
 			b = binary.AppendUvarint(b, uint64(*c))
@@ -135,13 +135,13 @@
 		return Report{}, errReport
 	}
 	r := Report{Incarnation: binary.BigEndian.Uint32(b[1:]), Build: BuildID(binary.BigEndian.Uint16(b[5:])),
-		Stage: int(b[7]), Demand: binary.BigEndian.Uint16(b[8:]), Usual: binary.BigEndian.Uint16(b[10:])}
+		Stage: int(b[7]), Demand: binary.BigEndian.Uint16(b[8:]), UsualDemand: binary.BigEndian.Uint16(b[10:])}
 	b = b[reportHead:]
 	before, size := binary.Uvarint(b)
 	if size <= 0 || before > maxCount {
 		return Report{}, errReport
 	}
-	r.Before, b = uint32(before), b[size:]
+	r.BaselineAnswers, b = uint32(before), b[size:]
 	for _, a := range r.arms() {
 		for _, dst := range a.fields() {
 			n, size := binary.Uvarint(b)
@@ -161,21 +161,21 @@
 }
 
 // Encode gives the message's bytes, leaving out the servers that no longer fit.
-func (m InFlight) Encode() []byte {
+func (m InFlightReport) Encode() []byte {
 	b := []byte{busyVersion}
 	for _, s := range m[:min(len(m), (maxReport-1)/busySize)] {
 		b = binary.BigEndian.AppendUint16(b, s.Server)
-		b = append(b, byte(min(s.InFlight, busyMost))|byte(count(s.Failed)*busyFailed)|byte(count(s.Erred)*busyErred))
+		b = append(b, byte(min(s.InFlight, busyMost))|byte(count(s.Failed)*busyFailed)|byte(count(s.AnsweredError)*busyErred))
 	}
 	return b
 }
 
 // DecodeInFlight reads such a message; anything malformed or of another version is an error.
-func DecodeInFlight(b []byte) (InFlight, error) {
+func DecodeInFlightReport(b []byte) (InFlightReport, error) {
 	if len(b) == 0 || len(b) > maxReport || b[0] != busyVersion || len(b)%busySize != 1 {
 		return nil, errReport
 	}
-	var m InFlight
+	var m InFlightReport
 	for b = b[1:]; len(b) > 0; b = b[busySize:] {
 		m = append(m, BusyServer{binary.BigEndian.Uint16(b), int(b[2] & busyMost), b[2]&busyFailed > 0, b[2]&busyErred > 0})
 	}
--- a/logic/state.go
+++ b/logic/state.go
@@ -86,7 +86,7 @@
 }
 
 // Retune takes other shares of tenants and worths of classes, from now on; what is not named is as the settings say.
-func (r *Router) Retune(shares, worth map[string]float64) {
+func (r *Router) SetSharesAndWorths(shares, worth map[string]float64) {
 	for _, t := range r.s.Tenants {
 		part, ok := shares[t.Name]
 		if !ok {
@@ -138,7 +138,7 @@
 
 // repeatBy is when servers no longer drop a repeat of a keyed request that may have run; zero where that binds nothing.
 func (q *request) repeatBy() time.Duration {
-	if !q.mayRan || q.class.Repeat != Keyed {
+	if !q.mayRan || q.class.Repeatability != Keyed {
 		return 0
 	}
 	return q.ranAt + q.class.DedupWindow
@@ -236,8 +236,8 @@
 		return
 	}
 	more := func(now, then uint32) float64 { return (float64(now) - float64(then)) / each } // some are taken back
-	n, weight := more(total.New.N, was.New.N), more(total.Old.N, was.Old.N)+faith/each
-	erred := more(total.Old.erred(), was.Old.erred()) + faith/each*share(total.Old.erred(), total.Old.N)
+	n, weight := more(total.New.Attempts, was.New.Attempts), more(total.Old.Attempts, was.Old.Attempts)+faith/each
+	erred := more(total.Old.erred(), was.Old.erred()) + faith/each*share(total.Old.erred(), total.Old.Attempts)
 	s.n += n
 	s.erred += more(total.New.erred(), was.New.erred())
 	s.usual += n * erred / weight
@@ -271,20 +271,20 @@
 
 // told is what a peer has in flight, and when that was heard.
 type told struct {
-	busy InFlight
+	busy InFlightReport
 	at   time.Duration
 }
 
 func hundredths(x float64) uint16 { return uint16(min(100*max(0, x), math.MaxUint16)) }
 
 // erred counts errors and answers found wrong.
-func (a Arm) erred() uint32 { return a.Err + a.Wrong }
+func (a Arm) erred() uint32 { return a.Errors + a.Wrong }
 
 // share is the part that some make of all.
 func share(some, all uint32) float64 { return float64(some) / float64(max(1, all)) }
 
 // countBusy adds or takes off the attempts that a peer has out.
-func (r *Router) countBusy(busy InFlight, sign int) {
+func (r *Router) countBusy(busy InFlightReport, sign int) {
 	for _, b := range busy {
 		if s := r.short[b.Server]; s != nil {
 			s.peerBusy = max(0, s.peerBusy+sign*b.InFlight)
@@ -297,10 +297,10 @@
 
 // own is this router's report, without the attempts out.
 func (r *Router) own() Report {
-	m := Report{Incarnation: r.incarnation, Build: r.rel.Build, Stage: r.step(), Counts: r.counts,
-		Total: r.total, Demand: hundredths(r.demand), Usual: hundredths(r.usual)}
+	m := Report{Incarnation: r.incarnation, Build: r.rel.Build, Stage: r.step(), StageCounts: r.counts,
+		BuildCounts: r.total, Demand: hundredths(r.demand), UsualDemand: hundredths(r.usual)}
 	for _, c := range r.classes {
-		m.Before += c.before
+		m.BaselineAnswers += c.before
 	}
 	return m
 }
@@ -310,9 +310,9 @@
 	stage, total = r.counts, r.total
 	for _, m := range r.peers {
 		if m.Build == r.rel.Build {
-			total.plus(m.Total)
+			total.plus(m.BuildCounts)
 			if m.Stage == r.step() {
-				stage.plus(m.Counts)
+				stage.plus(m.StageCounts)
 			}
 		}
 	}
@@ -323,7 +323,7 @@
 func (r *Router) tally(q *request) {
 	f := q.first
 	q.first = first{}
-	if f.N == 0 || f.rel.Build != r.rel.Build {
+	if f.Attempts == 0 || f.rel.Build != r.rel.Build {
 		return
 	}
 	if f.failed != nil {
@@ -345,7 +345,7 @@
 		c.stage = Arm{}
 	}
 	c.rel = f.rel
-	failed := Arm{Miss: 1, Err: f.Err}
+	failed := Arm{Missed: 1, Errors: f.Errors}
 	c.stage.plus(failed)
 	c.total.plus(failed)
 }
@@ -357,7 +357,7 @@
 		return
 	}
 	less := func(from *Arm, by Arm) {
-		from.Miss, from.Err = from.Miss-min(by.Miss, from.Miss), from.Err-min(by.Err, from.Err)
+		from.Missed, from.Errors = from.Missed-min(by.Missed, from.Missed), from.Errors-min(by.Errors, from.Errors)
 	}
 	less(r.total.arm(isNew), c.total)
 	if c.rel.Stage == r.rel.Stage && c.rel.Phase == r.rel.Phase {
@@ -387,7 +387,7 @@
 // pace is the time of answers as a part of the aim, of the class that comes nearest to it.
 func (r *Router) pace() (most float64) {
 	for _, c := range r.classes {
-		most = max(most, c.took/c.Aim.Seconds())
+		most = max(most, c.took/c.LatencyTarget.Seconds())
 	}
 	return most
 }
@@ -420,11 +420,11 @@
 
 // ramp is the part of its capacity that a server surely has.
 func (r *Router) ramp(s *server) float64 {
-	if s.Started == 0 || r.s.ColdTime <= 0 {
+	if s.Started == 0 || r.s.WarmUpTime <= 0 {
 		return 1
 	}
-	age := float64(r.now-s.Started) / float64(r.s.ColdTime)
-	return min(1, r.s.ColdFrom+(1-r.s.ColdFrom)*max(0, age))
+	age := float64(r.now-s.Started) / float64(r.s.WarmUpTime)
+	return min(1, r.s.ColdCapacity+(1-r.s.ColdCapacity)*max(0, age))
 }
 
 // capacity is what a server can do now, by its listed weight.
@@ -433,11 +433,11 @@
 // budget finds the budget of a build and class.
 func (r *Router) budget(build BuildID, c *class) *budget {
 	k := budgetKey{build: build}
-	if r.s.Rollout.PerClass {
+	if r.s.Rollout.BudgetPerClass {
 		k.class = c.Name
 	}
 	if r.budgets[k] == nil { // one free attempt is kept for what requests have earned
-		used := slices.Repeat([]time.Duration{r.now - 2*r.s.Rollout.Window}, max(0, int(r.s.Rollout.Free)-1))
+		used := slices.Repeat([]time.Duration{r.now - 2*r.s.Rollout.ExposureWindow}, max(0, int(r.s.Rollout.FreeAttempts)-1))
 		r.budgets[k] = &budget{slots: used}
 	}
 	return r.budgets[k]
@@ -451,10 +451,10 @@
 // pooledDemand sums what all routers tell of demand now and before the trial, and of the answers behind marks.
 func (r *Router) pooledDemand() (demand, usual float64, before uint32) {
 	own := r.own()
-	demand, usual, before = float64(own.Demand), float64(own.Usual), own.Before
+	demand, usual, before = float64(own.Demand), float64(own.UsualDemand), own.BaselineAnswers
 	for _, m := range r.heard {
-		if before += m.Before; m.Usual > 0 { // a restarted router does not know what was usual
-			demand, usual = demand+float64(m.Demand), usual+float64(m.Usual)
+		if before += m.BaselineAnswers; m.UsualDemand > 0 { // a restarted router does not know what was usual
+			demand, usual = demand+float64(m.Demand), usual+float64(m.UsualDemand)
 		}
 	}
 	return demand, usual, before
