--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the loggers of this project's programs: zap, on standard error only.
+// Package logging makes the zap loggers of this project's programs, which write to standard error only.
 package logging
 
 import (
@@ -8,7 +8,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New makes a logger for lines of a level and above ("debug", "info", "warn", "error").
+// New makes a logger for lines of the given level and above; level is "debug", "info", "warn" or "error".
 func New(level string) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -20,8 +20,8 @@
 	cfg.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
 	cfg.DisableCaller, cfg.DisableStacktrace = true, true
 	cfg.OutputPaths, cfg.ErrorOutputPaths = []string{"stderr"}, []string{"stderr"}
-	// Danger: a line repeated by a peer's misbehaviour floods the log; the same text shows 5 times a
-	// second, then every 1000th time.
+	// Lines with the same text are written 5 times a second, then every 1000th time: otherwise a line that a misbehaving
+	// peer causes again and again would flood the log.
 	cfg.Sampling = &zap.SamplingConfig{Initial: 5, Thereafter: 1000}
 	log, err := cfg.Build()
 	if err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what the router takes in, sends and answers, by outcome.
+// Package metrics holds the router's counters: what it receives, sends and answers, by outcome.
 package metrics
 
 import (
@@ -11,20 +11,21 @@
 	"go.uber.org/zap"
 )
 
-// Registry holds all counters by name. Reading the table takes no lock: it is replaced when a name is new.
+// Registry holds all counters by name and is safe for concurrent use. Looking up an existing counter takes no lock: the
+// table is replaced by a copy when a new name is added.
 type Registry struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // held while a name is added
 	counters atomic.Pointer[map[string]*atomic.Int64]
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry {
 	r := &Registry{}
 	r.counters.Store(&map[string]*atomic.Int64{})
 	return r
 }
 
-// at finds a counter, or makes it.
+// counter returns the counter of a name and adds it if it does not exist.
 func (r *Registry) counter(name string) *atomic.Int64 {
 	if c := (*r.counters.Load())[name]; c != nil {
 		return c
@@ -41,13 +42,13 @@
 	return current[name]
 }
 
-// Add counts n more of a kind; names are fixed texts, "what.outcome", never taken from a peer.
+// Add adds n to a counter. Names are fixed strings of the form "what.outcome" and never contain data from a peer.
 func (r *Registry) Add(name string, n int64) { r.counter(name).Add(n) }
 
-// Inc counts one more.
+// Inc adds one to a counter.
 func (r *Registry) Inc(name string) { r.Add(name, 1) }
 
-// Worst keeps the longest time seen, in microseconds, under a name ending in "_us".
+// RecordMax raises a counter to a duration in microseconds if that exceeds its value. The name ends in "_us".
 func (r *Registry) RecordMax(name string, d time.Duration) {
 	c := r.counter(name)
 	for {
@@ -58,10 +59,10 @@
 	}
 }
 
-// Get reads a counter.
+// Get returns the value of a counter.
 func (r *Registry) Get(name string) int64 { return r.counter(name).Load() }
 
-// Log prints all counters on one line, by name.
+// Log writes all counters, sorted by name, as the fields of one log line; why is the reason for logging them.
 func (r *Registry) Log(log *zap.Logger, why string) {
 	names := slices.Sorted(maps.Keys(*r.counters.Load()))
 	fields := []zap.Field{zap.String("why", why)}
--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -15,7 +15,8 @@
 	"merlinarch/logic"
 )
 
-// Start begins an attempt; the returned function gives it up.
+// Start begins an attempt and returns at once; the returned function gives the attempt up. The attempt's Report is
+// called once with the result.
 func (p *Pool) Start(a gateway.Attempt) (cancel func()) {
 	ctx, stop := context.WithDeadline(p.ctx, a.Deadline)
 	p.work.Go(func() {
@@ -29,14 +30,14 @@
 	return stop
 }
 
-// attempt runs one attempt to its end. By the time it returns, the connection is idle or closed. Danger: an
-// attempt that was given up must not be out on an open connection when the next one leaves.
+// runAttempt runs one attempt to its end. By the time it returns, the connection is idle or closed, so that an attempt
+// that was given up is no longer in progress on an open connection when the next one is sent.
 func (p *Pool) runAttempt(ctx context.Context, a gateway.Attempt) gateway.Result {
 	h, c, failure := p.getConn(ctx, a.Server)
 	if c == nil {
 		return failure
 	}
-	// Danger: the request may have ended, its client left, or the host begun to drain, while the connection was made.
+	// While the connection was being made, the request may have ended, its client left, or the host started to drain.
 	if a.Exchange.Ended() || a.Exchange.Left() || ctx.Err() != nil || !p.admitSend(h, a) {
 		p.counters.Inc("attempts.given_up_unsent")
 		p.putIdle(h, c)
@@ -49,8 +50,9 @@
 	return r
 }
 
-// connection finds a server's idle connection or makes one; without, the outcome tells why. Danger: short of
-// descriptors, or when the attempt's own time is over, the node would blame the host.
+// getConn takes a server's idle connection or opens a new one. If it returns no connection, the result tells why. It is
+// NotSent if there is no such server, no descriptor was left or the attempt's own time is over: ConnectFailed would
+// count these against the host.
 func (p *Pool) getConn(ctx context.Context, server logic.ServerID) (*host, *conn, gateway.Result) {
 	h := p.lookup(server)
 	if h == nil {
@@ -70,8 +72,8 @@
 	}
 }
 
-// exchange writes a request and waits for its answer. The outcome turns on the last byte: a break before it
-// is written proves that the request never ran, after it the request may have.
+// execute writes a request to a connection and waits for its answer. The outcome of a failure depends on the request's
+// last byte: if the connection breaks before that is written, the request cannot have run; after it, it may have run.
 func (p *Pool) execute(ctx context.Context, h *host, c *conn, text []byte, planned string) gateway.Result {
 	var pass *accord.Pass
 	if p.Gate != nil {
@@ -91,11 +93,11 @@
 	switch {
 	case !written && (errors.Is(err, accord.ErrNoLease) || errors.Is(err, accord.ErrCordoned) || errors.Is(err, accord.ErrWithdrawn)):
 		return gateway.Result{Outcome: logic.NotSent, Held: errors.Is(err, accord.ErrNoLease)}
-	case !written && ctx.Err() != nil: // given up: the host is not to blame
+	case !written && ctx.Err() != nil: // the attempt was given up: not a failure of the host
 		return gateway.Result{Outcome: logic.NotSent}
 	case !written:
 		return gateway.Result{Outcome: logic.ConnectFailed}
-	case err == nil && outcomeOf(r) != logic.OK: // its body is of no use
+	case err == nil && outcomeOf(r) != logic.OK: // the body is not passed on
 		r.allocation.free()
 		return gateway.Result{Outcome: outcomeOf(r), Load: r.load}
 	case err == nil:
@@ -109,7 +111,7 @@
 	return gateway.Result{Outcome: logic.Reset, Begun: r.begunOK()}
 }
 
-// reason names why an answer can't be used, for the counters.
+// failureReason returns the name under which the counters count an answer that cannot be used.
 func failureReason(err error) string {
 	switch {
 	case errors.Is(err, errTooLarge):
@@ -125,19 +127,20 @@
 	}
 }
 
-// outcome reads the protocol's table of answers.
+// outcomeOf maps the status of an answer to the outcome of its attempt, as the hosts' protocol defines it.
 func outcomeOf(r response) logic.Outcome {
 	switch {
 	case r.status == http.StatusOK:
 		return logic.OK
 	case r.rejected && (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout):
 		return logic.Rejected
-	default: // it may have run
+	default: // the request may have run
 		return logic.ServerError
 	}
 }
 
-// request writes an attempt's request. The message goes on as it came.
+// encodeRequest returns the bytes of an attempt's request. Method, target, id, idempotency key and body are the client's,
+// unchanged.
 func encodeRequest(a gateway.Attempt) []byte {
 	m := a.Exchange.Message
 	b := make([]byte, 0, 256+len(m.Target)+len(m.Body))
@@ -159,7 +162,7 @@
 	return append(append(b, "\r\n\r\n"...), m.Body...)
 }
 
-// Probe asks a server how it is.
+// Probe asks a server for its load and returns at once; report is called once with the result.
 func (p *Pool) Probe(server logic.ServerID, report func(gateway.Result)) {
 	p.work.Go(func() {
 		ctx, stop := context.WithTimeout(p.ctx, p.limits.ProbeTimeout)
@@ -171,6 +174,7 @@
 	})
 }
 
+// runProbe sends one probe. A load report in the answer's header takes precedence over one in its body.
 func (p *Pool) runProbe(ctx context.Context, server logic.ServerID) gateway.Result {
 	h, c, failure := p.getConn(ctx, server)
 	if c == nil {
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -12,40 +12,44 @@
 	"merlinarch/internal/sockstat"
 )
 
-var errNoDescriptor = errors.New("no descriptor left for servers")
+// errNoDescriptor tells that the limit of server connections is reached and none of them is idle.
+var errNoDescriptor = errors.New("no file descriptor left for server connections")
 
-// conn is a connection to a host. It carries one request at a time, and nothing reads from it in between. Danger:
-// bytes that were taken from the kernel while no answer was due, a second copy or noise, would pass for the next
-// answer; so they stay there, where silent sees them.
+// conn is a connection to a host. It carries one request at a time, and nothing reads from it between requests: bytes
+// that arrive while no answer is due, such as a duplicate answer or garbage, stay in the kernel, where openAndEmpty
+// detects them. If they were read into the buffer, they could be taken for the next answer.
 type conn struct {
 	raw    net.Conn
 	br     *bufio.Reader // empty between requests
 	limits responseLimits
 
 	mu      sync.Mutex
-	aborted bool // the attempt on it was: no deadline is set any more
+	aborted bool // its attempt was given up: the deadline no longer changes
 
-	closed bool      // guarded by the pool
-	usedAt time.Time // guarded by the pool
+	closed bool      // guarded by Pool.mu
+	usedAt time.Time // when it last became idle; guarded by Pool.mu
 }
 
+// newConn wraps an established connection.
 func newConn(raw net.Conn, l responseLimits) *conn {
 	return &conn{raw: raw, br: bufio.NewReader(raw), limits: l}
 }
 
-// silent tells that nothing has come on the connection since its last answer, not even its end. Danger: the kernel
-// takes bytes for a host that has closed long ago, and what came unasked would pass for the next answer.
+// openAndEmpty reports whether nothing has arrived on the connection since its last answer, neither bytes nor its end.
+// The check is needed before a request is written: the kernel accepts bytes for a host that has closed long ago, and
+// bytes that arrived unrequested would be taken for the next answer.
 func (c *conn) openAndEmpty() bool { return c.br.Buffered() == 0 && sockstat.OpenAndEmpty(c.raw) }
 
-// giveUp ends what is being written or read.
+// abort ends a write or read in progress and all later ones on the connection.
 func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.aborted = true
-	c.raw.SetDeadline(time.Unix(1, 0)) // it may have closed
+	c.raw.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, which needs no deadline
 }
 
-// readBy sets until when reads may take; zero is for ever.
+// setReadDeadline sets the deadline of reads; the zero time means no deadline. After abort it changes nothing and
+// returns an error.
 func (c *conn) setReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,8 +59,8 @@
 	return c.raw.SetReadDeadline(t)
 }
 
-// roundTrip writes a request and reads its answer, until ctx ends. written tells whether the request's last byte
-// was written. Nothing goes out without the pass, where there is one.
+// roundTrip writes a request and reads its answer, until ctx ends. It reports in written whether the request's last
+// byte was written. If pass is not nil, bytes go out only while the pass allows it.
 func (c *conn) roundTrip(ctx context.Context, text []byte, pass *accord.Pass) (r response, written bool, err error) {
 	stopAbort := context.AfterFunc(ctx, c.abort)
 	if pass == nil {
@@ -68,28 +72,29 @@
 	if err == nil && written {
 		r, err = c.readFinal()
 	}
-	if !stopAbort() { // its deadline is over, or will be at any moment
+	if !stopAbort() { // abort has set a past deadline, or is about to
 		r.reusable = false
 	}
 	return r, written, err
 }
 
-// piece is what is written between two looks at the rules and the lease.
+// checkedWriteSize is the number of bytes written between two checks of the rules and the lease.
 const checkedWriteSize = 4 << 10
 
-// writeChecked writes a request in pieces, each only while the rules and the lease allow it. Danger: the process may
-// stand still anywhere in here, and a host begins on a request with its last byte.
+// writeChecked writes a request in pieces and checks before each one that the agreed rules and the lease still allow
+// it. The process may be suspended at any point in here, and a host starts to work on a request when its last byte
+// arrives.
 func (c *conn) writeChecked(text []byte, pass *accord.Pass) (written bool, err error) {
 	defer pass.End()
 	for rest := text; len(rest) > 0; {
-		if len(rest) < len(text) { // the first look was the gate's own, just before
+		if len(rest) < len(text) { // Gate.Begin has just checked the first piece
 			if err := pass.Still(); err != nil {
 				return false, err
 			}
 		}
 		n, err := c.raw.Write(rest[:min(checkedWriteSize, len(rest))])
 		if err != nil {
-			if forbidden := pass.Still(); forbidden != nil { // broken off for that: the host is not to blame
+			if forbidden := pass.Still(); forbidden != nil { // the gate aborted the write: not a failure of the host
 				err = forbidden
 			}
 			return false, err
@@ -99,16 +104,17 @@
 	return true, nil
 }
 
-// read reads one answer whole, interim ones skipped. Danger: half an answer passed on can't be repeated or failed
-// any more. Danger: one that claims more than it brings would hold its request until the time is over; once an
-// answer has begun, the rest has to follow. It hurts a host that pauses for longer within an answer.
+// readFinal skips interim answers and returns the final answer once it is complete. Answers are not passed on in parts,
+// because an attempt whose answer was passed on in part can neither be retried nor fail. Once an answer has begun, the
+// rest has to arrive within the read timeout: otherwise an answer that announces more than it sends would hold its
+// request until the deadline. The cost is that an attempt fails if its host pauses for longer within the answer.
 func (c *conn) readFinal() (response, error) {
 	for range maxInterim {
 		if _, err := c.br.Peek(1); err != nil {
 			return response{}, err
 		}
-		// Danger: an answer may have come whole in the moment in which its request is given up. What is there is read; the
-		// deadline that giving up has set ends any wait for more.
+		// The error is ignored: the answer may have arrived completely just as its attempt is aborted. What has arrived is
+		// read, and the deadline that abort has set ends any wait for more.
 		c.setReadDeadline(time.Now().Add(c.limits.readTimeout))
 		r, err := readResponse(c.br, c.limits)
 		r.begun = true
--- a/internal/servers/pool.go
+++ b/internal/servers/pool.go
@@ -1,5 +1,6 @@
-// Package servers is the router's side towards the hosts: connections, attempts and probes, HTTP/1.1 written
-// on net.Conn. An attempt is written once and never resent here, whatever happens to it.
+// Package servers is the router's upstream side. It keeps the pool of connections to the hosts and runs attempts and
+// probes on them, as HTTP/1.1 written directly to a net.Conn. Each attempt is written at most once: this package never
+// retries.
 package servers
 
 import (
@@ -17,17 +18,17 @@
 	"merlinarch/logic"
 )
 
-// host is a server that the list names, in one of its lives.
+// host is one incarnation of a server that discovery lists: one address, start time and build.
 type host struct {
 	gateway.Host
-	drainingSince time.Time // when it was first told to drain or be gone; zero: it is neither
-	obsolete      bool      // another life or address has taken its place, or nothing has
-	idle          []*conn   // the latest used last
+	drainingSince time.Time // when it was first listed as draining or gone; zero: neither
+	obsolete      bool      // replaced by another incarnation, or removed from the list
+	idle          []*conn   // the most recently used last
 }
 
-// Pool holds the connections to all servers.
+// Pool holds the connections to all servers. Its methods are safe for concurrent use.
 type Pool struct {
-	Gate *accord.Gate // passed by every attempt right before its bytes go out; nil: none. To be set before the first one
+	Gate *accord.Gate // checked by every attempt right before its bytes go out; nil: no check. Set it before the first attempt
 
 	limits     config.Limits
 	counters   *metrics.Registry
@@ -38,18 +39,19 @@
 
 	mu         sync.Mutex
 	hosts      map[logic.ServerID]*host
-	open       int // connections that stand or are being made
-	recalledAt map[logic.BuildID]time.Time
-	keyBuilds  map[uint64]keyBuild // by key, of attempts that are Forward
+	open       int                         // connections that are open or being dialed
+	recalledAt map[logic.BuildID]time.Time // time of the last Recall, by build
+	keyBuilds  map[uint64]keyBuild         // by key of a request, for attempts marked Forward
 }
 
-// left is the newest build to which an attempt for a key has left, and when it did or was answered.
+// keyBuild is the newest build to which an attempt for a key was sent, and when such an attempt was last sent or
+// answered.
 type keyBuild struct {
 	build logic.BuildID
 	at    time.Time
 }
 
-// New makes a pool; Close ends all that it has begun.
+// New makes a pool and starts its background goroutine. Call Close to end the pool.
 func New(limits config.Limits, counters *metrics.Registry) *Pool {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{limits: limits, counters: counters, ctx: ctx, stop: stop, hosts: map[logic.ServerID]*host{},
@@ -58,7 +60,7 @@
 	return p
 }
 
-// Close ends all attempts and connections, and waits for them.
+// Close cancels all attempts and probes, closes all idle connections, and waits until everything has ended.
 func (p *Pool) Close() {
 	p.stop()
 	p.mu.Lock()
@@ -69,7 +71,7 @@
 	p.work.Wait()
 }
 
-// Listed takes discovery's list, or its changes.
+// Listed applies discovery's list of hosts: the whole list if full is set, changes to it otherwise.
 func (p *Pool) Listed(full bool, hosts []gateway.Host) {
 	now := time.Now()
 	p.mu.Lock()
@@ -87,7 +89,7 @@
 			known.Host = h
 			known.updateDraining(now)
 			continue
-		default: // Danger: a send meant for the earlier life would run another build, unseen by its cap
+		default: // a send meant for the earlier incarnation would run on another build and not count towards its cap
 			known.obsolete = true
 			p.closeIdleConns(known)
 		}
@@ -105,7 +107,7 @@
 	}
 }
 
-// note keeps since when a host wants nothing new.
+// updateDraining keeps the time since which a host accepts nothing new.
 func (h *host) updateDraining(now time.Time) {
 	if h.State == logic.Ready {
 		h.drainingSince = time.Time{}
@@ -114,8 +116,9 @@
 	}
 }
 
-// remove takes a host off the list; attempts that are out go on. Danger: its address may be another build's at any moment,
-// and a send that was decided for it would run there, unseen by that one's cap; what has not left does not leave.
+// remove takes a host off the list. Attempts that have been sent continue; those that have not are no longer sent,
+// because the address may be taken over by another build at any moment and the request would run there without
+// counting towards that build's cap.
 func (p *Pool) remove(h *host, now time.Time) {
 	if h == nil {
 		return
@@ -126,7 +129,7 @@
 	delete(p.hosts, h.ID)
 }
 
-// dropIdle closes a host's idle connections.
+// closeIdleConns closes a host's idle connections. The caller holds the lock.
 func (p *Pool) closeIdleConns(h *host) {
 	for _, c := range h.idle {
 		p.closeConn(c)
@@ -134,7 +137,7 @@
 	h.idle = nil
 }
 
-// shut closes a connection, once.
+// closeConn closes a connection unless that was done before. The caller holds the lock.
 func (p *Pool) closeConn(c *conn) {
 	if !c.closed {
 		c.closed = true
@@ -143,7 +146,7 @@
 	}
 }
 
-// discard closes a connection that is not among the idle ones.
+// discard closes a connection that is not in a list of idle connections.
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,18 +162,19 @@
 	}
 }
 
-// Recall voids sends to a build that were decided before now and have not left.
+// Recall voids all attempts at servers of a build that were decided before now and have not been sent yet.
 func (p *Pool) Recall(build logic.BuildID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	maps.DeleteFunc(p.recalledAt, func(_ logic.BuildID, at time.Time) bool {
-		return now.Sub(at) > p.limits.MaxWait // what was decided before has ended; builds follow one another for ever
+		return now.Sub(at) > p.limits.MaxWait // attempts decided before then have ended, and new builds keep coming
 	})
 	p.recalledAt[build] = now
 }
 
-// leaves tells that a send may leave now, and notes it: what leaves is seen by all that come after it.
+// admitSend reports whether an attempt may be sent now. If so, it records the build for the attempt's key in the
+// same critical section, so that every later check takes it into account.
 func (p *Pool) admitSend(h *host, a gateway.Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,54 +185,57 @@
 	return true
 }
 
-// answered notes that a host has answered an attempt, be it that its answer broke off. Danger: what was decided for the
-// key meanwhile, and is held by a dial, would leave for an earlier build.
+// recordAnswered records that a host has answered an attempt, even if the answer broke off. Without this, an attempt
+// for the same key that was decided in the meantime and is held up by a dial could still be sent to an earlier build.
 func (p *Pool) recordAnswered(h *host, a gateway.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordKeyBuild(h, a)
 }
 
-// forward notes that what was decided for an attempt's key before now may not leave for an earlier build; the lock is held.
+// recordKeyBuild records that attempts for the same key that were decided before now must not be sent to an earlier
+// build. The caller holds the lock.
 func (p *Pool) recordKeyBuild(h *host, a gateway.Attempt) {
 	if key := a.Exchange.Fields.Key; a.Forward && p.keyBuilds[key].build <= h.Build {
 		p.keyBuilds[key] = keyBuild{h.Build, time.Now()}
 	}
 }
 
-// late tells that a send must not leave any more; the lock is held. Danger: a dial, or a stall of the machine, may hold a
-// send until a drain's grace has passed, a lower cap binds (that comes sooner than a dial takes), its servers no longer
-// drop a repeat, or a later build may have answered its key; it is given up then, never sent late.
+// tooLate reports whether an attempt must not be sent any more. The caller holds the lock. A dial or a stall of the
+// machine may delay an attempt until the drain grace has passed, a lower cap applies (a cap can change within the time
+// that a dial takes), the servers' deduplication window has ended, or a later build may have answered its key. Such an
+// attempt is given up and never sent late.
 func (p *Pool) tooLate(h *host, a gateway.Attempt) bool {
 	now := time.Now()
 	drained := !h.drainingSince.IsZero() && now.After(h.drainingSince.Add(p.limits.SendGrace))
 	at, ok := p.recalledAt[h.Build]
 	recalled := ok && a.Decided.Before(at)
-	if a.Forward { // what is decided later is the module's: the later build may go back by then
+	if a.Forward { // decisions made since are left to the logic package: the newer build may be rolling back by then
 		newest := p.keyBuilds[a.Exchange.Fields.Key]
 		recalled = recalled || h.Build < newest.build && a.Decided.Before(newest.at)
 	}
 	return h.obsolete || drained || recalled || !a.LeaveBy.IsZero() && now.After(a.LeaveBy)
 }
 
-// listed is how the list has a host now. Danger: the list may change while an attempt is on its way.
+// currentEntry returns a host's current entry in the list, which may change while an attempt is in progress.
 func (p *Pool) currentEntry(h *host) gateway.Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return h.Host
 }
 
-// lookup finds a host.
+// lookup returns the listed host of a server, or nil.
 func (p *Pool) lookup(server logic.ServerID) *host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hosts[server]
 }
 
-// take gives the idle connection that was used last, or nil. One that has just brought an answer is left alone
-// for a moment. Danger: what a host sends right behind an answer, a second copy or the connection's end, comes some
-// milliseconds later; a request written meanwhile would take the one for its answer, or be lost with the other. It
-// costs a connection more where one host is asked again at once; so where none is left, a shorter moment has to do.
+// takeIdle removes and returns the most recently used idle connection of a host, or nil. A connection on which an
+// answer has just arrived is not reused for a settling time, because a duplicate of the answer or the end of the
+// connection may follow some milliseconds later: a request written in between would take the duplicate for its answer,
+// or be lost with the connection. The cost is an additional connection when a host gets the next request at once, so
+// the settling time is shorter while no descriptor is left for another connection.
 func (p *Pool) takeIdle(h *host) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -251,7 +258,8 @@
 	return nil
 }
 
-// give puts a connection among the idle ones, or closes it.
+// putIdle makes a connection idle, or closes it if the host is no longer listed, the pool is closing or the host has
+// enough idle connections.
 func (p *Pool) putIdle(h *host, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -266,8 +274,9 @@
 	h.idle = append(h.idle, c)
 }
 
-// reserve takes a descriptor for a new connection. Danger: without descriptors left the node can't accept;
-// the least recently used idle connection closes first, and where there is none the send is given up.
+// reserveDescriptor reserves a file descriptor for a new connection and reports whether there was one. The number is
+// limited because a node without descriptors cannot accept connections either. At the limit, the least recently used
+// idle connection is closed; if none is idle, the attempt is given up.
 func (p *Pool) reserveDescriptor() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -289,14 +298,14 @@
 	return true
 }
 
-// unreserve gives the descriptor of a connection that was never made back.
+// releaseDescriptor returns the descriptor of a connection that could not be established.
 func (p *Pool) releaseDescriptor() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// connect makes a new connection to a host.
+// connect opens a new connection to a host.
 func (p *Pool) connect(ctx context.Context, h *host) (*conn, error) {
 	if !p.reserveDescriptor() {
 		p.counters.Inc("connections.no_descriptor")
@@ -313,9 +322,9 @@
 	return newConn(raw, responseLimits{p.limits.MaxHead, p.limits.MaxAnswer, p.bodyBudget, p.limits.AnswerWhole}), nil
 }
 
-// retire closes idle connections before the machines' own limit does, and those that hosts have closed or said
-// something on. Danger: a request that crosses the
-// machine's close may have run, and one of an unsafe class could not be tried again.
+// expireLoop closes idle connections before the hosts' own idle timeout does, and those that a host has closed or sent
+// unrequested bytes on. Without this, a request could cross the host's close; it might have run, and one of an unsafe
+// class could not be retried. The loop also drops old entries of keyBuilds.
 func (p *Pool) expireLoop() {
 	tick := time.NewTicker(max(p.limits.ServerIdle/16, 10*time.Millisecond))
 	defer tick.Stop()
@@ -327,7 +336,7 @@
 		}
 		p.mu.Lock()
 		maps.DeleteFunc(p.keyBuilds, func(_ uint64, entry keyBuild) bool {
-			return time.Since(entry.at) > p.limits.MaxWait // what was decided before has ended
+			return time.Since(entry.at) > p.limits.MaxWait // attempts decided before then have ended
 		})
 		for _, h := range p.hosts {
 			h.idle = slices.DeleteFunc(h.idle, func(c *conn) bool {
--- a/internal/servers/room.go
+++ b/internal/servers/room.go
@@ -2,45 +2,45 @@
 
 import "sync"
 
-// room is what all answers longer than usual may take together. Danger: hosts may answer at length to many requests
-// at a time, and a node out of memory dies with all that it holds. It hurts where more long answers come at once than
-// there is room for: those are given up.
+// memoryBudget limits the memory that all long answers take together. Without it, hosts that send long answers to many
+// requests at once could make the node run out of memory and lose everything that it holds. The cost is that, while
+// the budget is used up, further long answers are given up.
 type memoryBudget struct {
 	mu        sync.Mutex
-	available int
+	available int // bytes
 }
 
-// hold begins the part that one answer takes of the room; a nil room has none.
-func (r *memoryBudget) newAllocation() *allocation { return &allocation{budget: r} }
+// newAllocation returns the empty allocation of one answer. From a nil budget nothing can be allocated.
+func (b *memoryBudget) newAllocation() *allocation { return &allocation{budget: b} }
 
-// hold is the part of the room that one answer takes.
+// allocation is the part of the budget that one answer takes.
 type allocation struct {
 	budget *memoryBudget
-	size   int
+	size   int // bytes
 }
 
-// take asks for the room to be n bytes in all, and tells whether they are there.
-func (h *allocation) growTo(n int) bool {
-	if h.budget == nil {
+// growTo enlarges the allocation to n bytes in total and reports whether the budget allows it.
+func (a *allocation) growTo(n int) bool {
+	if a.budget == nil {
 		return false
 	}
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	if n-h.size > h.budget.available {
+	a.budget.mu.Lock()
+	defer a.budget.mu.Unlock()
+	if n-a.size > a.budget.available {
 		return false
 	}
-	h.budget.available -= n - h.size
-	h.size = n
+	a.budget.available -= n - a.size
+	a.size = n
 	return true
 }
 
-// free gives it all back, once.
-func (h *allocation) free() {
-	if h == nil || h.size == 0 {
+// free returns the whole allocation to the budget. Further calls do nothing.
+func (a *allocation) free() {
+	if a == nil || a.size == 0 {
 		return
 	}
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	h.budget.available += h.size
-	h.size = 0
+	a.budget.mu.Lock()
+	defer a.budget.mu.Unlock()
+	a.budget.available += a.size
+	a.size = 0
 }
--- a/internal/sockstat/sockstat.go
+++ b/internal/sockstat/sockstat.go
@@ -1,4 +1,4 @@
-// Package sockstat asks the kernel about a connection without reading from it.
+// Package sockstat asks the kernel for the state of a TCP connection without reading from it.
 package sockstat
 
 import (
@@ -10,8 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Silent tells that a connection is open and holds nothing unread. Its reader may not have run yet since
-// bytes came or the other side closed it, so the kernel is asked. Where that can't be, it counts as silent.
+// OpenAndEmpty reports whether a connection is open and has no unread bytes. It asks the kernel, because the goroutine
+// that reads the connection may not have run since bytes arrived or the peer closed it. It returns true for a
+// connection without a descriptor, whose state cannot be asked for.
 func OpenAndEmpty(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -30,23 +31,23 @@
 	return err == nil && openAndEmpty
 }
 
-// HungUp tells that the other side has ended a connection, for good or for sending, whatever stands unread before the
-// end. Where that can't be told, it has not.
+// PeerClosed reports whether the peer has closed a connection, or its sending side, even if unread bytes precede the
+// end. It returns false if the state is not available.
 func PeerClosed(c net.Conn) bool {
-	const closed, closeWait = 7, 8 // of the kernel's states of a connection, include/net/tcp_states.h
+	const closed, closeWait = 7, 8 // TCP_CLOSE and TCP_CLOSE_WAIT of the kernel's include/net/tcp_states.h
 	peerClosed := false
 	readTCPInfo(c, func(info *unix.TCPInfo) { peerClosed = info.State == closed || info.State == closeWait })
 	return peerClosed
 }
 
-// SinceReceived is how long ago the last byte came in on a connection; zero where that can't be told.
+// SinceReceived returns how long ago the last byte arrived on a connection, or zero if that is not available.
 func SinceReceived(c net.Conn) time.Duration {
 	ago := time.Duration(0)
 	readTCPInfo(c, func(info *unix.TCPInfo) { ago = time.Duration(info.Last_data_recv) * time.Millisecond })
 	return ago
 }
 
-// ask has the kernel's account of a connection looked at, where there is one.
+// readTCPInfo calls use with the kernel's TCP_INFO of a connection, if that is available.
 func readTCPInfo(c net.Conn, use func(*unix.TCPInfo)) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -56,7 +57,7 @@
 	if err != nil {
 		return
 	}
-	rc.Control(func(fd uintptr) { // it may have closed
+	rc.Control(func(fd uintptr) { // its error, of a closed connection, means that use is not called
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			use(info)
 		}
