--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -31,7 +31,7 @@
 	t := a.Terms()
 	fmt.Fprintf(w, "accord: cluster %s, %d registrars, without a lease: %s\n"+
 		"accord: D = lease / (1 - drift) + send = %v / (1 - %g) + %v = %v; a lease that nobody renews is over for certain after %v\n",
-		a.Cluster, len(a.Registrars), a.Mode, t.Length, t.Drift, t.Send, t.Bound().Round(time.Millisecond), t.Wait(t.Longest).Round(time.Millisecond))
+		a.Cluster, len(a.Registrars), a.Mode, t.Length, t.Drift, t.Send, t.StalenessBound().Round(time.Millisecond), t.ExpiryWait(t.Longest).Round(time.Millisecond))
 }
 
 // operator is what the commands that speak with the registrars have in common.
@@ -158,7 +158,7 @@
 		if err != nil {
 			return failure{fmt.Errorf("%s is not confirmed: %s (%w)", id, missing, err)}
 		}
-		i := slices.IndexFunc(s.Cordons, func(c statemachine.Cordon) bool { return c.ID == id })
+		i := slices.IndexFunc(s.Cordons, func(c statemachine.CordonStatus) bool { return c.ID == id })
 		if i < 0 {
 			return failure{fmt.Errorf("%s is not cordoned any more", id)}
 		}
@@ -167,7 +167,7 @@
 			fmt.Fprintf(out, "cordon of %s confirmed: no dispatcher will start anything there%s\n", id, lapsedText(c))
 			return nil
 		}
-		missing = fmt.Sprintf("%d of %d dispatchers have taken it in, missing: %s", c.Reached, c.Of, missingText(c))
+		missing = fmt.Sprintf("%d of %d dispatchers have taken it in, missing: %s", c.Reached, c.Total, missingText(c))
 		select {
 		case <-ctx.Done():
 			return failure{fmt.Errorf("%s is not confirmed: %s", id, missing)}
@@ -176,7 +176,7 @@
 	}
 }
 
-func lapsedText(c statemachine.Cordon) string {
+func lapsedText(c statemachine.CordonStatus) string {
 	if c.Confirmed == nil || len(c.Confirmed.Lapsed) == 0 {
 		return ""
 	}
@@ -184,14 +184,14 @@
 }
 
 // missingText names who may yet start something.
-func missingText(c statemachine.Cordon) string {
+func missingText(c statemachine.CordonStatus) string {
 	var names []string
-	for _, m := range c.Missing {
+	for _, m := range c.Stragglers {
 		switch {
-		case m.Never && m.Left <= 0:
+		case m.NeverLapses && m.Remaining <= 0:
 			names = append(names, m.Name+" (serves without a lease until it is heard, or retired by force)")
-		case m.Left > 0:
-			names = append(names, fmt.Sprintf("%s (for %v at most)", m.Name, m.Left.Round(time.Millisecond)))
+		case m.Remaining > 0:
+			names = append(names, fmt.Sprintf("%s (for %v at most)", m.Name, m.Remaining.Round(time.Millisecond)))
 		default:
 			names = append(names, m.Name)
 		}
@@ -221,7 +221,7 @@
 				if err != nil {
 					return err
 				}
-				if !slices.ContainsFunc(s.Cordons, func(c statemachine.Cordon) bool { return c.ID == args[0] }) {
+				if !slices.ContainsFunc(s.Cordons, func(c statemachine.CordonStatus) bool { return c.ID == args[0] }) {
 					fmt.Fprintf(c.OutOrStdout(), "%s is open again\n", args[0])
 					return nil
 				}
@@ -320,7 +320,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	for _, c := range s.Cordons {
-		fmt.Fprintf(w, "cordon\t%s\t%s\t%d of %d\t%s: %s", c.ID, c.State, c.Reached, c.Of, c.Author, c.Reason)
+		fmt.Fprintf(w, "cordon\t%s\t%s\t%d of %d\t%s: %s", c.ID, c.State, c.Reached, c.Total, c.Author, c.Reason)
 		if c.State == cordon.Reaching {
 			fmt.Fprintf(w, "; missing: %s", missingText(c))
 		}
@@ -331,15 +331,15 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Work)) {
 		x := s.Work[name]
-		fmt.Fprintf(w, "dispatch\t%s\t%s\t%s\t%s\n", name, x.Progress, x.Owner, x.Why)
+		fmt.Fprintf(w, "dispatch\t%s\t%s\t%s\t%s\n", name, x.Progress, x.Owner, x.Reason)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Sites)) {
 		x := s.Sites[name]
 		hour := "not enough is known of it"
-		if x.Known {
-			hour = fmt.Sprintf("up in an hour: %.2f", x.Hour)
+		if x.HasForecast {
+			hour = fmt.Sprintf("up in an hour: %.2f", x.UpInAnHour)
 		}
-		fmt.Fprintf(w, "site\t%s\t%s\tsince %s\t%s\n", name, x.State, time.UnixMilli(x.Since).UTC().Format(time.RFC3339), hour)
+		fmt.Fprintf(w, "site\t%s\t%s\tsince %s\t%s\n", name, x.State, time.UnixMilli(x.SinceMs).UTC().Format(time.RFC3339), hour)
 	}
 	for _, d := range s.Dispatchers {
 		heard := "not heard by this leader"
--- a/cmd/merlinarch/ledger.go
+++ b/cmd/merlinarch/ledger.go
@@ -91,7 +91,7 @@
 			if err != nil {
 				return fmt.Errorf("--period: expected a time such as 2026-12-01T12:00:00Z, got %q", at)
 			}
-			n.For = o.Accounts.At(when)
+			n.For = o.Accounts.PeriodAt(when)
 			found := false
 			for i, name := range outcomeNames {
 				if name == outcome {
@@ -112,7 +112,7 @@
 			if err != nil {
 				return failure{err}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "entered under key %s for the period from %s\n", n.Key, o.Accounts.Start(n.For).Format(time.RFC3339))
+			fmt.Fprintf(c.OutOrStdout(), "entered under key %s for the period from %s\n", n.Key, o.Accounts.PeriodStart(n.For).Format(time.RFC3339))
 			return nil
 		}}
 	fl := correct.Flags()
@@ -155,7 +155,7 @@
 		if err != nil {
 			return fmt.Errorf("--period: expected a time such as 2026-12-01T12:00:00Z, got %q", period)
 		}
-		only = s.At(at)
+		only = s.PeriodAt(at)
 	}
 	rows := []row{}
 	for _, st := range v.Statements {
@@ -164,7 +164,7 @@
 		}
 		for _, l := range st.Lines {
 			if tenant == "" || l.Tenant == tenant {
-				rows = append(rows, row{s.Start(st.Period).Format(time.RFC3339), st.Closed, l.Tenant, l.Class, outcomeNames[l.Outcome],
+				rows = append(rows, row{s.PeriodStart(st.Period).Format(time.RFC3339), st.Closed, l.Tenant, l.Class, outcomeNames[l.Outcome],
 					l.Counted.Requests, l.Corrected.Requests, l.Counted.Attempts, l.Counted.Work.Seconds(), float64(l.Counted.Worth) / 1e6})
 			}
 		}
--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -95,7 +95,7 @@
 	if others != nil {
 		work.Go(func() { others.Run(ctx, gw) })
 	}
-	watcher := discovery.New(c.Discovery, backoff.OfDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, count, log)
+	watcher := discovery.New(c.Discovery, backoff.ForDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, count, log)
 	if c.Known != nil { // the module's first event is the list, the next the platform's news
 		if err := watcher.Known(c.Known); err != nil {
 			log.Warn("starting without a list", zap.Error(err))
@@ -103,7 +103,7 @@
 	}
 	var desk *platform.Client
 	if c.Platform != "" {
-		desk = platform.New(c.Platform, backoff.OfPlatform(c.Seed), c.Limits, gw, count, log)
+		desk = platform.New(c.Platform, backoff.ForPlatform(c.Seed), c.Limits, gw, count, log)
 		parts.Platform = desk
 		if news, err := platform.DecodeNews(c.News); err == nil {
 			gw.Released(news)
--- a/internal/accord/client.go
+++ b/internal/accord/client.go
@@ -31,7 +31,7 @@
 	if len(c.names) == 0 {
 		return errors.New("no registrars")
 	}
-	p := backoff.New(backoff.Rule{First: 50 * time.Millisecond, Last: time.Second, Seed: uint64(time.Now().UnixNano())}, false)
+	p := backoff.New(backoff.Policy{FirstPause: 50 * time.Millisecond, MaxPause: time.Second, Seed: uint64(time.Now().UnixNano())}, false)
 	for {
 		once, stop := context.WithTimeout(ctx, 5*time.Second)
 		err := Call(once, c.http, c.addrs[c.names[c.at]], path, in, out)
@@ -47,7 +47,7 @@
 		default:
 			c.at = (c.at + 1) % len(c.names)
 		}
-		pause, _ := p.Failed()
+		pause, _ := p.RecordFailure()
 		if !sleep(ctx, pause) {
 			return fmt.Errorf("%w (last: %w)", ctx.Err(), err)
 		}
--- a/internal/accord/follower.go
+++ b/internal/accord/follower.go
@@ -44,7 +44,7 @@
 // Sink is where the decisions hear of the rules.
 type Sink interface {
 	// Ruled returns once the decisions know of a version, or of another conduct; an error tells that they have ended.
-	Ruled(ctx context.Context, v *ruleset.View, c lease.Conduct) error
+	Ruled(ctx context.Context, v *ruleset.View, c lease.Permission) error
 }
 
 // Fleet is what the dispatcher knows of the servers, for the registrars to judge by.
@@ -78,14 +78,14 @@
 	token  string   // of this life
 
 	news  chan ruleset.Document
-	ended chan statemachine.Ended
-	tasks map[uint64]*statemachine.Ended // by fence: what became of each; nil while it runs
+	ended chan statemachine.Outcome
+	tasks map[uint64]*statemachine.Outcome // by fence: what became of each; nil while it runs
 	work  sync.WaitGroup
 
 	life     uint64
 	leader   int // index into names: whom to ask next
 	view     *ruleset.View
-	conduct  lease.Conduct
+	conduct  lease.Permission
 	unknown  []string
 	wantList bool
 	spoken   string // the last trouble that was logged
@@ -99,7 +99,7 @@
 	f := &Follower{Gate: NewGate(o.Mode, o.Clock, count), opts: o, sink: sink, fleet: fleet, count: count, log: log,
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2,
 			IdleConnTimeout: 10 * o.Terms.Beat}},
-		names: slices.Sorted(maps.Keys(o.Registrars)), token: rand.Text(), news: make(chan ruleset.Document, 1), ended: make(chan statemachine.Ended), tasks: map[uint64]*statemachine.Ended{}, conduct: lease.Nothing}
+		names: slices.Sorted(maps.Keys(o.Registrars)), token: rand.Text(), news: make(chan ruleset.Document, 1), ended: make(chan statemachine.Outcome), tasks: map[uint64]*statemachine.Outcome{}, conduct: lease.None}
 	f.leader = int(o.Seed % uint64(len(f.names)))
 	return f
 }
@@ -112,7 +112,7 @@
 	defer f.work.Wait()
 	// Danger: all dispatchers start in one moment after a loss of power, and each asks for a life, which costs the
 	// registrars a write to their disks. Each has a place of its own within a beat.
-	p := backoff.New(backoff.Rule{First: f.opts.Terms.Beat / 4, Last: f.opts.Terms.Beat, Window: 0, Seed: f.opts.Seed}, false)
+	p := backoff.New(backoff.Policy{FirstPause: f.opts.Terms.Beat / 4, MaxPause: f.opts.Terms.Beat, Window: 0, Seed: f.opts.Seed}, false)
 	place := time.Duration(float64(f.opts.Seed%1024) / 1024 * float64(f.opts.Terms.Beat))
 	if !sleep(ctx, place) {
 		return
@@ -126,10 +126,10 @@
 		}
 		pause := f.opts.Terms.Beat
 		if err == nil {
-			p.Succeeded()
+			p.RecordSuccess()
 			f.trouble("")
 		} else if ctx.Err() == nil {
-			pause, _ = p.Failed()
+			pause, _ = p.RecordFailure()
 			f.count.Inc("accord.beats_failed")
 			f.trouble(err.Error())
 		}
@@ -293,12 +293,12 @@
 		f.work.Go(func() {
 			done := f.Printer != nil && f.Printer.Print(ctx, t)
 			select {
-			case f.ended <- statemachine.Ended{Dispatch: t.Dispatch, Fence: t.Fence, Done: done}:
+			case f.ended <- statemachine.Outcome{Dispatch: t.Dispatch, Fence: t.Fence, Done: done}:
 			case <-ctx.Done():
 			}
 		})
 	}
-	maps.DeleteFunc(f.tasks, func(fence uint64, e *statemachine.Ended) bool { return e != nil && !listed[fence] })
+	maps.DeleteFunc(f.tasks, func(fence uint64, e *statemachine.Outcome) bool { return e != nil && !listed[fence] })
 }
 
 // call asks whom it takes for the leader, and learns who is.
@@ -333,7 +333,7 @@
 
 // watch holds a question for news open at one registrar after another; any of them will do.
 func (f *Follower) watch(ctx context.Context) {
-	p := backoff.New(backoff.Rule{First: f.opts.Terms.Beat / 4, Last: 2 * f.opts.Terms.Beat, Seed: f.opts.Seed + 1}, false)
+	p := backoff.New(backoff.Policy{FirstPause: f.opts.Terms.Beat / 4, MaxPause: 2 * f.opts.Terms.Beat, Seed: f.opts.Seed + 1}, false)
 	at, after := int(f.opts.Seed>>8%uint64(len(f.names))), uint64(0)
 	for ctx.Err() == nil {
 		query := url.Values{"cluster": {f.opts.Cluster}, "after": {strconv.FormatUint(after, 10)}}
@@ -346,11 +346,11 @@
 		}
 		if err != nil {
 			at = (at + 1) % len(f.names)
-			pause, _ := p.Failed()
+			pause, _ := p.RecordFailure()
 			sleep(ctx, pause)
 			continue
 		}
-		p.Succeeded()
+		p.RecordSuccess()
 		if n.Document == nil || n.Document.Head.Version <= after {
 			continue
 		}
--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -66,7 +66,7 @@
 // allows is called under the lock. The clock is read here, at the last moment: the process may have stood still since
 // the attempt was decided, or since it got its connection.
 func (g *Gate) allows(host string, born int64, planned string) error {
-	if c := g.look(); c == lease.Nothing || planned != "" && c != lease.Full {
+	if c := g.look(); c == lease.None || planned != "" && c != lease.Full {
 		g.count.Inc("accord.held_back")
 		return ErrNoLease
 	}
@@ -140,7 +140,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.holder.Took(v.Version())
+	g.holder.Advance(v.Version())
 	return nil
 }
 
@@ -149,24 +149,24 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	defer g.look()
-	return g.holder.Granted(asked, version, length)
+	return g.holder.RecordGrant(asked, version, length)
 }
 
 // Lost closes the gate until another lease is granted: the record knows this life no more.
 func (g *Gate) Lost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.holder.Lost()
+	g.holder.Revoke()
 	g.look()
 }
 
 // look is called under the lock: it tells what may be done now, and notes it for Refusing.
-func (g *Gate) look() lease.Conduct {
-	c := lease.Nothing
+func (g *Gate) look() lease.Permission {
+	c := lease.None
 	if g.view != nil {
-		c = g.holder.Conduct(g.clock.Now())
+		c = g.holder.Permission(g.clock.Now())
 	}
-	g.shut.Store(c == lease.Nothing)
+	g.shut.Store(c == lease.None)
 	return c
 }
 
@@ -178,7 +178,7 @@
 }
 
 // Conduct is what may be done now.
-func (g *Gate) Conduct() lease.Conduct {
+func (g *Gate) Conduct() lease.Permission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.look()
@@ -188,7 +188,7 @@
 func (g *Gate) Left() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	left, ok := g.holder.Stands(g.clock.Now())
+	left, ok := g.holder.Remaining(g.clock.Now())
 	if !ok {
 		return -1
 	}
--- a/internal/accord/wire.go
+++ b/internal/accord/wire.go
@@ -67,9 +67,9 @@
 	Listed  []cordon.Server `json:"listed,omitempty"`  // where the registrar has asked for it
 	Reports []cordon.Report `json:"reports,omitempty"`
 
-	Unix  int64                `json:"unix_ms"`         // the asker's wall clock
-	Met   []contact.Evidence   `json:"met,omitempty"`   // at sites, since the last beat
-	Ended []statemachine.Ended `json:"ended,omitempty"` // tries of planned work, until they are listed as its tasks no more
+	Unix  int64                  `json:"unix_ms"`         // the asker's wall clock
+	Met   []contact.Evidence     `json:"met,omitempty"`   // at sites, since the last beat
+	Ended []statemachine.Outcome `json:"ended,omitempty"` // tries of planned work, until they are listed as its tasks no more
 }
 
 // Granted is a lease on a version, from when the Beat was sent.
@@ -116,19 +116,19 @@
 
 // Status is what a leader tells of the record.
 type Status struct {
-	Cluster     string                            `json:"cluster"`
-	Role        Role                              `json:"role"`
-	Head        ruleset.Head                      `json:"head"`
-	Bound       string                            `json:"bound"`            // D
-	Bounds      map[string]string                 `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
-	Rules       ruleset.Rules                     `json:"rules"`
-	Waiting     []ruleset.Waiting                 `json:"waiting,omitempty"`
-	Cordons     []statemachine.Cordon             `json:"cordons,omitempty"`
-	Work        map[string]statemachine.Work      `json:"work,omitempty"`
-	Sites       map[string]statemachine.Reach     `json:"sites,omitempty"`
-	Dispatchers []Dispatcher                      `json:"dispatchers,omitempty"`
-	Expected    []string                          `json:"expected_missing,omitempty"` // named by the rules, and not in the record
-	Registrars  map[string]statemachine.Registrar `json:"registrars"`
+	Cluster     string                                `json:"cluster"`
+	Role        Role                                  `json:"role"`
+	Head        ruleset.Head                          `json:"head"`
+	Bound       string                                `json:"bound"`            // D
+	Bounds      map[string]string                     `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
+	Rules       ruleset.Rules                         `json:"rules"`
+	Waiting     []ruleset.Waiting                     `json:"waiting,omitempty"`
+	Cordons     []statemachine.CordonStatus           `json:"cordons,omitempty"`
+	Work        map[string]statemachine.DispatchState `json:"work,omitempty"`
+	Sites       map[string]statemachine.SiteStatus    `json:"sites,omitempty"`
+	Dispatchers []Dispatcher                          `json:"dispatchers,omitempty"`
+	Expected    []string                              `json:"expected_missing,omitempty"` // named by the rules, and not in the record
+	Registrars  map[string]statemachine.Registrar     `json:"registrars"`
 }
 
 // Dispatcher is what a leader tells of one.
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -26,69 +26,69 @@
 )
 
 // Rule tells how the calls of one router are spaced.
-type Rule struct {
-	First, Last time.Duration // the pauses after a first failure and after many; not used with a Window
-	Window      time.Duration // in which one call from every router finds room; zero: calls may come at once
-	Move        time.Duration // the same after a move to another address
-	Widest      time.Duration // what the window grows to while calls fail
-	Place       float64       // this router's in the window, 0 to under 1
-	Seed        uint64        // of the jitter
+type Policy struct {
+	FirstPause, MaxPause time.Duration // the pauses after a first failure and after many; not used with a Window
+	Window               time.Duration // in which one call from every router finds room; zero: calls may come at once
+	MoveWindow           time.Duration // the same after a move to another address
+	MaxWindow            time.Duration // what the window grows to while calls fail
+	Slot                 float64       // this router's in the window, 0 to under 1
+	Seed                 uint64        // of the jitter
 }
 
 // OfDiscovery is the rule for calls at discovery. Where it has to be asked (Settings.AskDiscovery) it is one service of
 // fixed capacity for all routers, and the settings tell in what time each has to ask (AskWithin); else an agent of the
 // router's own answers, and nothing is shared.
-func OfDiscovery(s logic.Settings, seed uint64) Rule {
+func ForDiscovery(s logic.Settings, seed uint64) Policy {
 	if !s.AskDiscovery || s.AskWithin <= 0 || s.Peers <= 1 {
 		// Danger: what the agent gets when discovery is back counts as told at once; a pause as long as the grace of a
 		// drain would hear of it when that is over. The agent answers at no cost.
-		rule := Rule{First: first, Last: last, Seed: seed}
+		rule := Policy{FirstPause: first, MaxPause: last, Seed: seed}
 		if part := s.DrainGrace / graceParts; part > 0 {
-			rule.First, rule.Last = min(first, part), min(last, part)
+			rule.FirstPause, rule.MaxPause = min(first, part), min(last, part)
 		}
 		return rule
 	}
 	// Multiples of the golden section leave no part of the window crowded, whichever routers happen to call.
 	_, place := math.Modf(float64(s.Self) * golden)
 	window := time.Duration(askedPart * float64(s.AskWithin))
-	return Rule{Window: window, Move: min(window, moved), Widest: time.Duration(widest * float64(s.AskWithin)),
-		Place: place, Seed: seed}
+	return Policy{Window: window, MoveWindow: min(window, moved), MaxWindow: time.Duration(widest * float64(s.AskWithin)),
+		Slot: place, Seed: seed}
 }
 
 // OfPlatform is the rule for connections to the release platform.
-func OfPlatform(seed uint64) Rule { return Rule{First: first, Last: last, Seed: seed} }
+func ForPlatform(seed uint64) Policy { return Policy{FirstPause: first, MaxPause: last, Seed: seed} }
 
 // Pace spaces one router's calls at one address. It is not safe for use by several goroutines.
-type Pace struct {
-	rule  Rule
+type Pacer struct {
+	rule  Policy
 	rng   *rand.Rand
 	begin time.Duration // the window of the first call
 	fails int           // in a row
 }
 
 // New begins at an address; moved tells that another one was followed before.
-func New(rule Rule, moved bool) *Pace {
-	p := &Pace{rule: rule, rng: rand.New(rand.NewPCG(rule.Seed, rule.Seed>>32)), begin: rule.Window}
+func New(rule Policy, moved bool) *Pacer {
+	p := &Pacer{rule: rule, rng: rand.New(rand.NewPCG(rule.Seed, rule.Seed>>32)), begin: rule.Window}
 	if moved {
-		p.begin = rule.Move
+		p.begin = rule.MoveWindow
 	}
 	return p
 }
 
 // Begin is the pause before the first call: the router's own place in the window.
-func (p *Pace) Begin() time.Duration { return time.Duration(p.rule.Place * float64(p.begin)) }
+func (p *Pacer) InitialDelay() time.Duration { return time.Duration(p.rule.Slot * float64(p.begin)) }
 
 // Failed notes that a call failed, or that what it had opened broke, and tells the pause before the next one, and
 // whether this is the first failure in a row. Danger: calls that fail together come again together; a call that a
 // service had no time for costs it as much as one that it answers, and so none may ever be answered again.
-func (p *Pace) Failed() (pause time.Duration, isFirst bool) {
+func (p *Pacer) RecordFailure() (pause time.Duration, isFirst bool) {
 	grown := func(from, to time.Duration) time.Duration {
 		return min(from<<min(p.fails, 16), to)
 	}
 	if isFirst = p.fails == 0; p.rule.Window > 0 {
-		pause = p.part(grown(p.rule.Window, p.rule.Widest))
+		pause = p.part(grown(p.rule.Window, p.rule.MaxWindow))
 	} else {
-		half := grown(p.rule.First, p.rule.Last) / 2
+		half := grown(p.rule.FirstPause, p.rule.MaxPause) / 2
 		pause = half + p.part(half)
 	}
 	p.fails++
@@ -96,12 +96,12 @@
 }
 
 // Succeeded ends a row of failures, and tells whether there was one.
-func (p *Pace) Succeeded() (wasFailing bool) {
+func (p *Pacer) RecordSuccess() (wasFailing bool) {
 	wasFailing, p.fails = p.fails > 0, 0
 	return wasFailing
 }
 
 // part draws a part of d.
-func (p *Pace) part(d time.Duration) time.Duration {
+func (p *Pacer) part(d time.Duration) time.Duration {
 	return time.Duration(p.rng.Float64() * float64(d))
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -46,10 +46,10 @@
 
 // Bound is D: no dispatcher starts an attempt under a version older than the newest agreed one later than this after
 // that one was agreed, in true time. A dispatcher whose clock is slow counts its lease long.
-func (t Terms) Bound() time.Duration { return t.bound(t.Length) }
+func (t Terms) StalenessBound() time.Duration { return t.bound(t.Length) }
 
 // BoundOf is D for a dispatcher that was granted a lease of another length.
-func (t Terms) BoundOf(length time.Duration) time.Duration { return t.bound(length) }
+func (t Terms) StalenessBoundFor(length time.Duration) time.Duration { return t.bound(length) }
 
 func (t Terms) bound(length time.Duration) time.Duration {
 	return time.Duration(float64(length)/(1-t.Drift)) + t.Send
@@ -57,7 +57,7 @@
 
 // Wait is how long a registrar waits, on its own clock, from hearing an asking until the lease that it may have given
 // rise to is over for certain. A registrar whose clock is fast counts true time short.
-func (t Terms) Wait(length time.Duration) time.Duration {
+func (t Terms) ExpiryWait(length time.Duration) time.Duration {
 	return time.Duration(float64(t.bound(length)) * (1 + t.Drift))
 }
 
@@ -71,13 +71,13 @@
 )
 
 // Conduct is what a dispatcher may do at a moment.
-type Conduct int
+type Permission int
 
 // Conducts.
 const (
-	Full    Conduct = iota // all that the version it holds allows
-	Stale                  // mode Serve, without a lease: ordinary requests at builds that are not on trial
-	Nothing                // nothing new is sent
+	Full  Permission = iota // all that the version it holds allows
+	Stale                   // mode Serve, without a lease: ordinary requests at builds that are not on trial
+	None                    // nothing new is sent
 )
 
 // Holder is a dispatcher's side. It is not safe for use by several goroutines.
@@ -89,14 +89,14 @@
 }
 
 // Took notes that a version has been taken in: from now on nothing starts under an older one.
-func (h *Holder) Took(version uint64) { h.version = max(h.version, version) }
+func (h *Holder) Advance(version uint64) { h.version = max(h.version, version) }
 
 // Version is the newest version taken in.
 func (h *Holder) Version() uint64 { return h.version }
 
 // Granted notes a lease on a version, counted from when its asking was sent. A lease on a version that was not taken
 // in is worth nothing, and answers that come in another order never shorten what stands.
-func (h *Holder) Granted(asked time.Duration, version uint64, length time.Duration) bool {
+func (h *Holder) RecordGrant(asked time.Duration, version uint64, length time.Duration) bool {
 	if version == 0 || version > h.version || length <= 0 {
 		return false
 	}
@@ -107,40 +107,40 @@
 }
 
 // Stands tells whether a lease stands, and for how long yet.
-func (h *Holder) Stands(now time.Duration) (left time.Duration, ok bool) {
+func (h *Holder) Remaining(now time.Duration) (left time.Duration, ok bool) {
 	return h.until - now, h.granted && now < h.until
 }
 
 // Lost notes that the record knows this life no more. Danger: whom the record does not name is waited for by nobody.
-func (h *Holder) Lost() { h.granted = false }
+func (h *Holder) Revoke() { h.granted = false }
 
 // Conduct is what may be done now. A process that was granted no lease yet does nothing in either mode, whatever it has
 // heard of the rules: what it held in an earlier life may have been replaced, and a cordon may be confirmed without it.
-func (h *Holder) Conduct(now time.Duration) Conduct {
-	_, stands := h.Stands(now)
+func (h *Holder) Permission(now time.Duration) Permission {
+	_, stands := h.Remaining(now)
 	switch {
 	case stands:
 		return Full
 	case h.Mode == Serve && h.granted:
 		return Stale
 	default:
-		return Nothing
+		return None
 	}
 }
 
 // Member is a dispatcher in the agreed record.
 type Member struct {
-	Life   uint64   `json:"life"`             // its number of this life; a later one replaces it
-	Token  string   `json:"token"`            // that it chose at its start, so that a repeated asking gets one life
-	Mode   Mode     `json:"mode"`             // as it is set to
-	Former []uint64 `json:"former,omitempty"` // lives that may still hold leases; bounded by Formers
-	Knows  []string `json:"knows,omitempty"`  // kinds of rules that it understands
-	Site   string   `json:"site,omitempty"`
+	Incarnation        uint64   `json:"life"`             // its number of this life; a later one replaces it
+	Token              string   `json:"token"`            // that it chose at its start, so that a repeated asking gets one life
+	Mode               Mode     `json:"mode"`             // as it is set to
+	FormerIncarnations []uint64 `json:"former,omitempty"` // lives that may still hold leases; bounded by Formers
+	KnownKinds         []string `json:"knows,omitempty"`  // kinds of rules that it understands
+	Site               string   `json:"site,omitempty"`
 }
 
 // Formers bounds the former lives that are kept of one dispatcher: one that restarts faster than its leases lapse
 // waits until there is room.
-const Formers = 16
+const MaxFormerIncarnations = 16
 
 type seen struct {
 	at    time.Duration // an asking was last heard
@@ -156,7 +156,7 @@
 
 // Roll is a leader's side: what it has heard from each life of each dispatcher since it began to lead. It lives and dies
 // with one term of leadership.
-type Roll struct {
+type Tracker struct {
 	terms Terms
 	begun time.Duration
 	seen  map[lifeKey]*seen
@@ -164,15 +164,15 @@
 
 // NewRoll begins a term of leadership. Danger: an earlier leader may have granted leases that this one never heard of;
 // until the longest of them is over, none counts as lapsed.
-func NewRoll(terms Terms, now time.Duration) *Roll {
-	return &Roll{terms: terms, begun: now, seen: map[lifeKey]*seen{}}
+func NewTracker(terms Terms, now time.Duration) *Tracker {
+	return &Tracker{terms: terms, begun: now, seen: map[lifeKey]*seen{}}
 }
 
-func (r *Roll) of(name string, life uint64) *seen {
+func (r *Tracker) of(name string, life uint64) *seen {
 	k := lifeKey{name, life}
 	s := r.seen[k]
 	if s == nil {
-		s = &seen{at: r.begun, over: r.begun + r.terms.Wait(r.terms.Longest)}
+		s = &seen{at: r.begun, over: r.begun + r.terms.ExpiryWait(r.terms.Longest)}
 		r.seen[k] = s
 	}
 	return s
@@ -180,36 +180,36 @@
 
 // Asked notes an asking that was heard now, and what its sender had taken in by then; length is the longest lease that
 // may be granted for it. It has to be called before anything is granted.
-func (r *Roll) Asked(now time.Duration, name string, life, holds uint64, length time.Duration) {
+func (r *Tracker) RecordBeat(now time.Duration, name string, life, holds uint64, length time.Duration) {
 	s := r.of(name, life)
-	s.at, s.over = now, max(s.over, now+r.terms.Wait(length))
+	s.at, s.over = now, max(s.over, now+r.terms.ExpiryWait(length))
 	s.holds, s.heard = max(s.holds, holds), true
 }
 
 // Missing is a life of a dispatcher that may yet act on an older version.
-type Missing struct {
-	Name  string        `json:"name"`
-	Life  uint64        `json:"life"`
-	Holds uint64        `json:"holds"`           // 0: not heard of since this leader began
-	Left  time.Duration `json:"left_ns"`         // until its lease is over for certain; negative: it has to say so itself
-	Never bool          `json:"never,omitempty"` // mode serve: no lapse counts
+type Straggler struct {
+	Name        string        `json:"name"`
+	Incarnation uint64        `json:"life"`
+	Version     uint64        `json:"holds"`           // 0: not heard of since this leader began
+	Remaining   time.Duration `json:"left_ns"`         // until its lease is over for certain; negative: it has to say so itself
+	NeverLapses bool          `json:"never,omitempty"` // mode serve: no lapse counts
 }
 
 // Missing tells who may yet act on a version older than the one given, in order of names.
-func (r *Roll) Missing(now time.Duration, members map[string]Member, version uint64) []Missing {
-	var out []Missing
+func (r *Tracker) Stragglers(now time.Duration, members map[string]Member, version uint64) []Straggler {
+	var out []Straggler
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		m := members[name]
-		for _, life := range append(slices.Clone(m.Former), m.Life) {
+		for _, life := range append(slices.Clone(m.FormerIncarnations), m.Incarnation) {
 			s := r.of(name, life)
 			if s.holds >= version {
 				continue
 			}
 			left := s.over - now
 			// Danger: who serves on without a lease acts on what it last heard for as long as it is cut off.
-			never := m.Mode == Serve && life == m.Life
+			never := m.Mode == Serve && life == m.Incarnation
 			if never || left > 0 {
-				out = append(out, Missing{Name: name, Life: life, Holds: s.holds, Left: left, Never: never})
+				out = append(out, Straggler{Name: name, Incarnation: life, Version: s.holds, Remaining: left, NeverLapses: never})
 			}
 		}
 	}
@@ -217,10 +217,10 @@
 }
 
 // Lapsed lists the former lives whose leases are over for certain.
-func (r *Roll) Lapsed(now time.Duration, members map[string]Member) map[string][]uint64 {
+func (r *Tracker) LapsedIncarnations(now time.Duration, members map[string]Member) map[string][]uint64 {
 	out := map[string][]uint64{}
 	for name, m := range members {
-		for _, life := range m.Former {
+		for _, life := range m.FormerIncarnations {
 			if r.of(name, life).over <= now {
 				out[name] = append(out[name], life)
 			}
@@ -230,12 +230,12 @@
 }
 
 // Over tells whether no lease of a life stands for certain.
-func (r *Roll) Over(now time.Duration, name string, life uint64) bool {
+func (r *Tracker) HasLapsed(now time.Duration, name string, life uint64) bool {
 	return r.of(name, life).over <= now
 }
 
 // Heard tells when a life was last heard of by this leader, and what it holds.
-func (r *Roll) Heard(name string, life uint64) (at time.Duration, holds uint64, ok bool) {
+func (r *Tracker) LastBeat(name string, life uint64) (at time.Duration, holds uint64, ok bool) {
 	s := r.seen[lifeKey{name, life}]
 	if s == nil || !s.heard {
 		return 0, 0, false
@@ -245,15 +245,15 @@
 
 // Agreed is how far a leader's wall clock is off from what it and the dispatchers have together: the median, so that one
 // that was set wrong, its own too, moves nothing. Leases do not go by it; expiries of cordons do not either.
-func Agreed(off []time.Duration) time.Duration {
+func MedianOffset(off []time.Duration) time.Duration {
 	all := append(slices.Clone(off), 0)
 	slices.Sort(all)
 	return all[len(all)/2]
 }
 
 // Clone is a copy that goes its own way.
-func (r *Roll) Clone() *Roll {
-	c := &Roll{terms: r.terms, begun: r.begun, seen: make(map[lifeKey]*seen, len(r.seen))}
+func (r *Tracker) Clone() *Tracker {
+	c := &Tracker{terms: r.terms, begun: r.begun, seen: make(map[lifeKey]*seen, len(r.seen))}
 	for k, s := range r.seen {
 		x := *s
 		c.seen[k] = &x
--- a/internal/decide/ruleset/view.go
+++ b/internal/decide/ruleset/view.go
@@ -60,7 +60,7 @@
 
 // Release narrows the platform's news: the exposure of a build on trial keeps under the ceiling, and without a lease
 // nothing goes to it.
-func (v *View) Release(s logic.ReleaseStatus, c lease.Conduct) logic.ReleaseStatus {
+func (v *View) Release(s logic.ReleaseStatus, c lease.Permission) logic.ReleaseStatus {
 	if s.Phase != logic.OnTrial {
 		return s
 	}
@@ -74,7 +74,7 @@
 }
 
 // Vote narrows a vote: during a freeze, and without a lease, none takes a build further.
-func (v *View) Vote(x logic.Vote, c lease.Conduct) logic.Vote {
+func (v *View) Vote(x logic.Vote, c lease.Permission) logic.Vote {
 	if x.Verdict == logic.VoteOn && (v.Document.Rules.Freeze != nil || c != lease.Full) {
 		x.Verdict = logic.VoteHold
 	}
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -26,31 +26,31 @@
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
 
-	Ask     *ruleset.Ask `json:"ask,omitempty"`
-	Enrol   *Enrol       `json:"enrol,omitempty"`
-	Open    *Open        `json:"open,omitempty"`
-	Confirm *Confirm     `json:"confirm,omitempty"`
-	Forget  *Forget      `json:"forget,omitempty"`
-	Retire  *Retire      `json:"retire,omitempty"`
-	Passed  *Passed      `json:"passed,omitempty"`
-	Seen    *Seen        `json:"seen,omitempty"`
-	Claim   *Claim       `json:"claim,omitempty"`
-	Ended   *Ended       `json:"ended,omitempty"`
-	Vacate  *Vacate      `json:"vacate,omitempty"`
-	Drop    *Drop        `json:"drop,omitempty"`
+	Ask      *ruleset.Ask `json:"ask,omitempty"`
+	Enrol    *Enrol       `json:"enrol,omitempty"`
+	Activate *Activate    `json:"open,omitempty"`
+	Confirm  *Confirm     `json:"confirm,omitempty"`
+	Forget   *Forget      `json:"forget,omitempty"`
+	Retire   *Retire      `json:"retire,omitempty"`
+	Elapsed  *Elapsed     `json:"passed,omitempty"`
+	Observed *Observed    `json:"seen,omitempty"`
+	Claim    *Claim       `json:"claim,omitempty"`
+	Outcome  *Outcome     `json:"ended,omitempty"`
+	Reclaim  *Reclaim     `json:"vacate,omitempty"`
+	Drop     *Drop        `json:"drop,omitempty"`
 }
 
 // Enrol gives a life to a dispatcher.
 type Enrol struct {
-	Name  string     `json:"name"`
-	Token string     `json:"token"` // drawn by the dispatcher at its start
-	Mode  lease.Mode `json:"mode"`
-	Knows []string   `json:"knows,omitempty"`
-	Site  string     `json:"site,omitempty"`
+	Name       string     `json:"name"`
+	Token      string     `json:"token"` // drawn by the dispatcher at its start
+	Mode       lease.Mode `json:"mode"`
+	KnownKinds []string   `json:"knows,omitempty"`
+	Site       string     `json:"site,omitempty"`
 }
 
 // Open puts in force what waits, as nobody acts on a version older than the one that announced it.
-type Open struct {
+type Activate struct {
 	Version uint64 `json:"version"`
 }
 
@@ -58,19 +58,19 @@
 type Confirm struct {
 	Cordon  string   `json:"cordon"`
 	Version uint64   `json:"version"`          // that brought it: one lifted and asked for anew meanwhile is another
-	Of      int      `json:"of"`               // dispatchers at that time
+	Total   int      `json:"of"`               // dispatchers at that time
 	Lapsed  []string `json:"lapsed,omitempty"` // those that did not say so: their leases are over
 }
 
 // Passed counts time towards the expiry of cordons: what passed on the leader's clock since the last such entry of its
 // term. Wall clocks have no part in it; time between two leaders is not counted, so a cordon lasts too long at worst.
-type Passed struct {
+type Elapsed struct {
 	Ms int64 `json:"ms"`
 }
 
 // Forget drops former lives of dispatchers whose leases are over.
 type Forget struct {
-	Lives map[string][]uint64 `json:"lives"`
+	Incarnations map[string][]uint64 `json:"lives"`
 }
 
 // Retire takes a dispatcher out of the record: whoever asks for it vouches that it has ended.
@@ -84,25 +84,25 @@
 // Confirmation is a cordon's, as it was agreed.
 type Confirmation struct {
 	At     int64    `json:"at_ms"`
-	Of     int      `json:"of"`
+	Total  int      `json:"of"`
 	Lapsed []string `json:"lapsed,omitempty"`
 }
 
 // State is the whole record.
 type State struct {
-	Book      *ruleset.Book           `json:"book"`
-	Members   map[string]lease.Member `json:"members"`
-	Lives     uint64                  `json:"lives"` // the number of the last one given
-	Confirmed map[string]Confirmation `json:"confirmed"`
-	Agreed    map[string]uint64       `json:"agreed"` // by cordon: the version that brought it
-	Retired   map[string]Retire       `json:"retired,omitempty"`
-	Left      map[string]int64        `json:"left,omitempty"` // by cordon that expires: ms until then
-	Contacts  *contact.Sites          `json:"contacts"`
-	Work      map[string]Work         `json:"work,omitempty"` // by dispatch
-	Fence     uint64                  `json:"fence"`          // of the latest claim
-
-	Registrars map[string]Registrar `json:"registrars"`
-	Gone       []uint64             `json:"gone,omitempty"` // identities that were replaced: never taken again
+	Book            *ruleset.Book            `json:"book"`
+	Members         map[string]lease.Member  `json:"members"`
+	LastIncarnation uint64                   `json:"lives"` // the number of the last one given
+	Confirmed       map[string]Confirmation  `json:"confirmed"`
+	CordonVersions  map[string]uint64        `json:"agreed"` // by cordon: the version that brought it
+	Retired         map[string]Retire        `json:"retired,omitempty"`
+	RemainingMs     map[string]int64         `json:"left,omitempty"` // by cordon that expires: ms until then
+	Contacts        *contact.Sites           `json:"contacts"`
+	Dispatches      map[string]DispatchState `json:"work,omitempty"` // by dispatch
+	LastFence       uint64                   `json:"fence"`          // of the latest claim
+
+	Registrars         map[string]Registrar `json:"registrars"`
+	FormerRegistrarIDs []uint64             `json:"gone,omitempty"` // identities that were replaced: never taken again
 }
 
 // Registrar is one of those that keep the record.
@@ -112,16 +112,16 @@
 }
 
 // Replace puts a registrar in, or in the place of one that bore its name; with an empty address it takes it out.
-func (s *State) Replace(name string, r Registrar) {
+func (s *State) ReplaceRegistrar(name string, r Registrar) {
 	if was, ok := s.Registrars[name]; ok && was.ID != r.ID {
-		s.Gone = append(slices.Clone(s.Gone), was.ID)
+		s.FormerRegistrarIDs = append(slices.Clone(s.FormerRegistrarIDs), was.ID)
 	}
 	next := maps.Clone(s.Registrars)
 	if next == nil {
 		next = map[string]Registrar{}
 	}
 	if r.Addr == "" {
-		s.Gone = append(slices.Clone(s.Gone), r.ID)
+		s.FormerRegistrarIDs = append(slices.Clone(s.FormerRegistrarIDs), r.ID)
 		delete(next, name)
 	} else {
 		next[name] = r
@@ -135,7 +135,7 @@
 // New is the record before its first entry.
 func New(budget cordon.Budget, coldMs int64) *State {
 	return &State{Book: ruleset.New(budget, coldMs), Members: map[string]lease.Member{}, Confirmed: map[string]Confirmation{},
-		Agreed: map[string]uint64{}, Retired: map[string]Retire{}, Left: map[string]int64{}, Contacts: contact.New(), Work: map[string]Work{}}
+		CordonVersions: map[string]uint64{}, Retired: map[string]Retire{}, RemainingMs: map[string]int64{}, Contacts: contact.New(), Dispatches: map[string]DispatchState{}}
 }
 
 // Restore reads a record that was written whole.
@@ -153,10 +153,10 @@
 
 // Result is what an entry did.
 type Result struct {
-	Answer  ruleset.Answer // to an Ask
-	Life    uint64         // that was given to a dispatcher
-	Refused string         // why nothing was done; empty: it was
-	Step    *ruleset.Step  // that made a new version, if there is one
+	Answer      ruleset.Answer // to an Ask
+	Incarnation uint64         // that was given to a dispatcher
+	Refused     string         // why nothing was done; empty: it was
+	Step        *ruleset.Step  // that made a new version, if there is one
 }
 
 // Apply carries out one entry, agreed in a term. Entries that a later program wrote, with parts that this one does not
@@ -174,7 +174,7 @@
 
 func (s *State) apply(e Entry, term uint64) Result {
 	// An operator's asking, a dispatcher's enrolment are judged here, on the record alone, whoever passed them on.
-	judged := e.Open != nil || e.Confirm != nil || e.Forget != nil || e.Passed != nil || e.Claim != nil || e.Vacate != nil || e.Drop != nil
+	judged := e.Activate != nil || e.Confirm != nil || e.Forget != nil || e.Elapsed != nil || e.Claim != nil || e.Reclaim != nil || e.Drop != nil
 	if judged && e.Term != term {
 		return Result{Refused: fmt.Sprintf("judged in term %d, agreed in term %d", e.Term, term)}
 	}
@@ -184,32 +184,32 @@
 		return Result{Answer: a, Refused: a.Refused}
 	case e.Enrol != nil:
 		return s.enrol(*e.Enrol)
-	case e.Open != nil:
-		if err := s.Book.Open(e.Open.Version, e.At); err != nil {
+	case e.Activate != nil:
+		if err := s.Book.Open(e.Activate.Version, e.At); err != nil {
 			return Result{Refused: err.Error()}
 		}
 	case e.Confirm != nil:
-		if v, ok := s.Agreed[e.Confirm.Cordon]; !ok || v != e.Confirm.Version || s.lifting(e.Confirm.Cordon) {
+		if v, ok := s.CordonVersions[e.Confirm.Cordon]; !ok || v != e.Confirm.Version || s.lifting(e.Confirm.Cordon) {
 			return Result{Refused: "no such cordon stands"}
 		}
 		if _, ok := s.Confirmed[e.Confirm.Cordon]; !ok {
-			s.Confirmed[e.Confirm.Cordon] = Confirmation{At: e.At, Of: e.Confirm.Of, Lapsed: e.Confirm.Lapsed}
+			s.Confirmed[e.Confirm.Cordon] = Confirmation{At: e.At, Total: e.Confirm.Total, Lapsed: e.Confirm.Lapsed}
 		}
-	case e.Passed != nil:
-		for id := range s.Left {
-			s.Left[id] = max(0, s.Left[id]-max(0, e.Passed.Ms))
+	case e.Elapsed != nil:
+		for id := range s.RemainingMs {
+			s.RemainingMs[id] = max(0, s.RemainingMs[id]-max(0, e.Elapsed.Ms))
 		}
-	case e.Seen != nil:
-		for _, name := range slices.Sorted(maps.Keys(e.Seen.States)) {
-			s.Contacts.Observe(e.At, name, e.Seen.States[name], s.calendar(name))
+	case e.Observed != nil:
+		for _, name := range slices.Sorted(maps.Keys(e.Observed.States)) {
+			s.Contacts.Observe(e.At, name, e.Observed.States[name], s.calendar(name))
 		}
-	case e.Claim != nil || e.Ended != nil || e.Vacate != nil || e.Drop != nil:
+	case e.Claim != nil || e.Outcome != nil || e.Reclaim != nil || e.Drop != nil:
 		return s.work(e)
 	case e.Forget != nil:
-		for name, lives := range e.Forget.Lives {
+		for name, lives := range e.Forget.Incarnations {
 			if m, ok := s.Members[name]; ok {
-				m.Former = slices.DeleteFunc(slices.Clone(m.Former), func(l uint64) bool { return slices.Contains(lives, l) })
-				if s.Members[name] = m; m.Life == 0 && len(m.Former) == 0 { // retired, and over
+				m.FormerIncarnations = slices.DeleteFunc(slices.Clone(m.FormerIncarnations), func(l uint64) bool { return slices.Contains(lives, l) })
+				if s.Members[name] = m; m.Incarnation == 0 && len(m.FormerIncarnations) == 0 { // retired, and over
 					delete(s.Members, name)
 				}
 			}
@@ -217,7 +217,7 @@
 	case e.Retire != nil:
 		m, ok := s.Members[e.Retire.Name]
 		switch {
-		case !ok || m.Life == 0:
+		case !ok || m.Incarnation == 0:
 			return Result{Refused: "no such dispatcher"}
 		case e.Retire.Author == "" || e.Retire.Reason == "":
 			return Result{Refused: "expected an author and a reason"}
@@ -225,8 +225,8 @@
 			return Result{Refused: "it serves without a lease: retire it by force once its process has ended for certain"}
 		}
 		// Its lives are waited for as any that were replaced are; nothing but their lapse is known of them.
-		m.Former, m.Mode = append(slices.Clone(m.Former), m.Life), lease.Hold
-		m.Life, m.Token = 0, ""
+		m.FormerIncarnations, m.Mode = append(slices.Clone(m.FormerIncarnations), m.Incarnation), lease.Hold
+		m.Incarnation, m.Token = 0, ""
 		s.Members[e.Retire.Name] = m
 		if len(s.Retired) < MaxMembers {
 			s.Retired[e.Retire.Name] = *e.Retire
@@ -240,28 +240,28 @@
 // enrol gives a dispatcher its life. Danger: a process that was killed and comes back under its name may meet a lease
 // of its earlier life that still stands somewhere; that life is waited for like a dispatcher of its own.
 func (s *State) enrol(e Enrol) Result {
-	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxText || len(e.Token) > ruleset.MaxText || len(e.Knows) > 64 ||
+	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxText || len(e.Token) > ruleset.MaxText || len(e.KnownKinds) > 64 ||
 		e.Mode != lease.Hold && e.Mode != lease.Serve {
 		return Result{Refused: "expected a name, a token and a mode"}
 	}
 	m, ok := s.Members[e.Name]
-	if ok && m.Life != 0 && m.Token == e.Token {
-		return Result{Life: m.Life}
+	if ok && m.Incarnation != 0 && m.Token == e.Token {
+		return Result{Incarnation: m.Incarnation}
 	}
 	if !ok && len(s.Members) >= MaxMembers {
 		return Result{Refused: "too many dispatchers"}
 	}
-	if len(m.Former) >= lease.Formers {
+	if len(m.FormerIncarnations) >= lease.MaxFormerIncarnations {
 		return Result{Refused: "too many former lives whose leases may stand: come back later"}
 	}
-	if m.Life != 0 {
-		m.Former = append(slices.Clone(m.Former), m.Life)
+	if m.Incarnation != 0 {
+		m.FormerIncarnations = append(slices.Clone(m.FormerIncarnations), m.Incarnation)
 	}
-	s.Lives++
-	m.Life, m.Token, m.Mode, m.Knows, m.Site = s.Lives, e.Token, e.Mode, e.Knows, e.Site
+	s.LastIncarnation++
+	m.Incarnation, m.Token, m.Mode, m.KnownKinds, m.Site = s.LastIncarnation, e.Token, e.Mode, e.KnownKinds, e.Site
 	s.Members[e.Name] = m
 	delete(s.Retired, e.Name)
-	return Result{Life: m.Life}
+	return Result{Incarnation: m.Incarnation}
 }
 
 // lifting tells whether a cordon's lifting is agreed and waits.
@@ -274,11 +274,11 @@
 // follow keeps what is known of cordons in step with the rules.
 func (s *State) follow() {
 	d := &s.Book.Document
-	for id := range s.Agreed {
+	for id := range s.CordonVersions {
 		if _, ok := d.Rules.Cordons[id]; !ok {
-			delete(s.Agreed, id)
+			delete(s.CordonVersions, id)
 			delete(s.Confirmed, id)
-			delete(s.Left, id)
+			delete(s.RemainingMs, id)
 		}
 	}
 	for id := range s.Confirmed {
@@ -288,59 +288,59 @@
 	}
 	s.tidyWork()
 	for id := range d.Rules.Cordons {
-		if _, ok := s.Agreed[id]; !ok {
-			s.Agreed[id] = d.Head.Version
+		if _, ok := s.CordonVersions[id]; !ok {
+			s.CordonVersions[id] = d.Head.Version
 		}
 	}
 	for _, c := range s.Book.Last().Changes { // also one that stands already and is asked for again
 		if c.Kind != ruleset.KindCordon {
 			continue
 		}
-		if delete(s.Left, c.Cordon.ID()); c.For > 0 {
-			s.Left[c.Cordon.ID()] = c.For
+		if delete(s.RemainingMs, c.Cordon.ID()); c.For > 0 {
+			s.RemainingMs[c.Cordon.ID()] = c.For
 		}
 	}
 }
 
 // Cordon is how far one has got.
-type Cordon struct {
+type CordonStatus struct {
 	ID string `json:"id"`
 	cordon.Order
-	Version   uint64          `json:"version"` // that brought it
-	State     cordon.State    `json:"state"`
-	Confirmed *Confirmation   `json:"confirmed,omitempty"`
-	Reached   int             `json:"reached"`
-	Of        int             `json:"of"`
-	Missing   []lease.Missing `json:"missing,omitempty"`
+	Version    uint64            `json:"version"` // that brought it
+	State      cordon.State      `json:"state"`
+	Confirmed  *Confirmation     `json:"confirmed,omitempty"`
+	Reached    int               `json:"reached"`
+	Total      int               `json:"of"`
+	Stragglers []lease.Straggler `json:"missing,omitempty"`
 }
 
 // Watch is what a leader knows at a moment, beside the record.
-type Watch struct {
-	Roll    *lease.Roll
-	Now     time.Duration              // on the leader's clock
-	Listed  func() []cordon.Server     // as the dispatchers list them, pooled
-	Reports map[string][]cordon.Report // by dispatcher: its evidence on servers, of late
-	Auto    cordon.Auto
-	Met     map[string]contact.State // by site: what the dispatchers met there of late, pooled
-	Unix    int64                    // ms
-	Planned schedule.Settings
-	Passed  time.Duration // since the last entry that counted time
+type LeaderView struct {
+	Leases      *lease.Tracker
+	Now         time.Duration              // on the leader's clock
+	ListServers func() []cordon.Server     // as the dispatchers list them, pooled
+	Reports     map[string][]cordon.Report // by dispatcher: its evidence on servers, of late
+	AutoCordon  cordon.Auto
+	SiteStates  map[string]contact.State // by site: what the dispatchers met there of late, pooled
+	UnixMs      int64                    // ms
+	Schedule    schedule.Settings
+	Elapsed     time.Duration // since the last entry that counted time
 }
 
 // Cordons tells of all cordons, in order of their names.
-func (s *State) Cordons(w Watch) []Cordon {
-	var out []Cordon
+func (s *State) Cordons(w LeaderView) []CordonStatus {
+	var out []CordonStatus
 	for _, id := range slices.Sorted(maps.Keys(s.Book.Document.Rules.Cordons)) {
-		c := Cordon{ID: id, Order: s.Book.Document.Rules.Cordons[id], Version: s.Agreed[id], State: cordon.Reaching, Of: s.living()}
-		c.Missing = w.Roll.Missing(w.Now, s.Members, c.Version)
-		c.Reached = c.Of
-		for _, m := range c.Missing {
-			if s.Members[m.Name].Life == m.Life {
+		c := CordonStatus{ID: id, Order: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Reaching, Total: s.living()}
+		c.Stragglers = w.Leases.Stragglers(w.Now, s.Members, c.Version)
+		c.Reached = c.Total
+		for _, m := range c.Stragglers {
+			if s.Members[m.Name].Incarnation == m.Incarnation {
 				c.Reached--
 			}
 		}
 		if k, ok := s.Confirmed[id]; ok {
-			c.State, c.Confirmed, c.Missing, c.Reached = cordon.Confirmed, &k, nil, c.Of
+			c.State, c.Confirmed, c.Stragglers, c.Reached = cordon.Confirmed, &k, nil, c.Total
 		}
 		if s.lifting(id) {
 			c.State = cordon.Lifting
@@ -354,7 +354,7 @@
 func (s *State) living() int {
 	n := 0
 	for _, m := range s.Members {
-		if m.Life != 0 {
+		if m.Incarnation != 0 {
 			n++
 		}
 	}
@@ -365,39 +365,39 @@
 const countEvery = 2 * time.Second
 
 // Due is what a leader asks the record to take in now, by what it has heard in its term.
-func (s *State) Due(w Watch) []Entry {
+func (s *State) Due(w LeaderView) []Entry {
 	var out []Entry
 	d := &s.Book.Document
 	for _, c := range s.Cordons(w) {
-		if c.State == cordon.Reaching && len(c.Missing) == 0 {
-			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Of: c.Of, Lapsed: s.lapsed(w, c.Version)}})
+		if c.State == cordon.Reaching && len(c.Stragglers) == 0 {
+			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.lapsed(w, c.Version)}})
 		}
 	}
-	if v := s.Book.Ready(); v > 0 && !slices.ContainsFunc(w.Roll.Missing(w.Now, s.Members, v), func(m lease.Missing) bool {
-		return m.Left > 0 // who serves without a lease keeps to the last version it heard, and nobody waits for it here
+	if v := s.Book.Ready(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
+		return m.Remaining > 0 // who serves without a lease keeps to the last version it heard, and nobody waits for it here
 	}) {
-		out = append(out, Entry{Open: &Open{Version: v}})
+		out = append(out, Entry{Activate: &Activate{Version: v}})
 	}
-	if lives := w.Roll.Lapsed(w.Now, s.Members); len(lives) > 0 {
-		out = append(out, Entry{Forget: &Forget{Lives: lives}})
+	if lives := w.Leases.LapsedIncarnations(w.Now, s.Members); len(lives) > 0 {
+		out = append(out, Entry{Forget: &Forget{Incarnations: lives}})
 	}
-	if len(s.Left) > 0 && w.Passed >= countEvery {
-		out = append(out, Entry{Passed: &Passed{Ms: w.Passed.Milliseconds()}})
+	if len(s.RemainingMs) > 0 && w.Elapsed >= countEvery {
+		out = append(out, Entry{Elapsed: &Elapsed{Ms: w.Elapsed.Milliseconds()}})
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.Left)) {
-		if s.Left[id] == 0 && !s.lifting(id) {
-			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.Agreed[id]), Base: d.Head.Version,
+	for _, id := range slices.Sorted(maps.Keys(s.RemainingMs)) {
+		if s.RemainingMs[id] == 0 && !s.lifting(id) {
+			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), Base: d.Head.Version,
 				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
 			break // the next one rests on the version that this makes
 		}
 	}
 	out = append(out, s.dueWork(w)...)
-	for _, host := range w.Auto.Suspects(w.Reports, d.Rules.Cordons) {
-		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.Listed()) != nil {
+	for _, host := range w.AutoCordon.Suspects(w.Reports, d.Rules.Cordons) {
+		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
 			continue // it would be refused, again and again
 		}
 		out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), Base: d.Head.Version,
-			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.Listed(),
+			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.ListServers(),
 			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Auto: true}}}})
 		break
 	}
@@ -405,11 +405,11 @@
 }
 
 // lapsed names the dispatchers that have not taken in a version, and may be passed over as their leases are over.
-func (s *State) lapsed(w Watch, version uint64) []string {
+func (s *State) lapsed(w LeaderView, version uint64) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		m := s.Members[name]
-		if _, holds, heard := w.Roll.Heard(name, m.Life); m.Life != 0 && (!heard || holds < version) {
+		if _, holds, heard := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && (!heard || holds < version) {
 			out = append(out, name)
 		}
 	}
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -14,27 +14,27 @@
 )
 
 // Seen is what the dispatchers met at sites, pooled.
-type Seen struct {
+type Observed struct {
 	States map[string]contact.State `json:"states"`
 }
 
 // Claim gives a dispatch to a life of a dispatcher. It gets a fence, higher than any before: who was given the same work
 // earlier, and stood still meanwhile, is told from who has it now.
 type Claim struct {
-	Dispatch string `json:"dispatch"`
-	Name     string `json:"name"`
-	Life     uint64 `json:"life"`
+	Dispatch    string `json:"dispatch"`
+	Name        string `json:"name"`
+	Incarnation uint64 `json:"life"`
 }
 
 // Ended is an owner's word on what became of its try.
-type Ended struct {
+type Outcome struct {
 	Dispatch string `json:"dispatch"`
 	Fence    uint64 `json:"fence"`
 	Done     bool   `json:"done"` // the receiver has it; else nothing is known of the try
 }
 
 // Vacate takes a claim back, as its owner's lease is over.
-type Vacate struct {
+type Reclaim struct {
 	Dispatch string `json:"dispatch"`
 	Fence    uint64 `json:"fence"`
 }
@@ -42,7 +42,7 @@
 // Drop gives a dispatch up.
 type Drop struct {
 	Dispatch string `json:"dispatch"`
-	Why      string `json:"why"`
+	Reason   string `json:"why"`
 }
 
 // Progress is how far a dispatch has got.
@@ -57,15 +57,15 @@
 )
 
 // Work is a dispatch in the record.
-type Work struct {
-	Progress Progress `json:"progress"`
-	Owner    string   `json:"owner,omitempty"`
-	Life     uint64   `json:"life,omitempty"`
-	Fence    uint64   `json:"fence,omitempty"`
-	Tried    int64    `json:"tried_ms,omitempty"`
-	Fails    int      `json:"fails,omitempty"`
-	Why      string   `json:"why,omitempty"`
-	At       int64    `json:"at_ms"`
+type DispatchState struct {
+	Progress    Progress `json:"progress"`
+	Owner       string   `json:"owner,omitempty"`
+	Incarnation uint64   `json:"life,omitempty"`
+	Fence       uint64   `json:"fence,omitempty"`
+	LastTriedMs int64    `json:"tried_ms,omitempty"`
+	Failures    int      `json:"fails,omitempty"`
+	Reason      string   `json:"why,omitempty"`
+	ChangedMs   int64    `json:"at_ms"`
 }
 
 // work carries out an entry on a dispatch.
@@ -74,56 +74,56 @@
 	switch {
 	case e.Claim != nil:
 		name = e.Claim.Dispatch
-	case e.Ended != nil:
-		name = e.Ended.Dispatch
-	case e.Vacate != nil:
-		name = e.Vacate.Dispatch
+	case e.Outcome != nil:
+		name = e.Outcome.Dispatch
+	case e.Reclaim != nil:
+		name = e.Reclaim.Dispatch
 	default:
 		name = e.Drop.Dispatch
 	}
 	_, planned := s.Book.Document.Rules.Dispatches[name]
-	w, there := s.Work[name]
+	w, there := s.Dispatches[name]
 	if !there {
 		w.Progress = Free
 	}
 	over := w.Progress == Done || w.Progress == Dropped
 	switch {
 	case e.Claim != nil:
-		if m, ok := s.Members[e.Claim.Name]; !planned || w.Progress != Free || !ok || m.Life != e.Claim.Life || e.Claim.Life == 0 {
+		if m, ok := s.Members[e.Claim.Name]; !planned || w.Progress != Free || !ok || m.Incarnation != e.Claim.Incarnation || e.Claim.Incarnation == 0 {
 			return Result{Refused: "not to be claimed"}
 		}
-		s.Fence++
-		w.Progress, w.Owner, w.Life, w.Fence, w.Tried = Claimed, e.Claim.Name, e.Claim.Life, s.Fence, e.At
-	case e.Ended != nil && e.Ended.Done:
+		s.LastFence++
+		w.Progress, w.Owner, w.Incarnation, w.Fence, w.LastTriedMs = Claimed, e.Claim.Name, e.Claim.Incarnation, s.LastFence, e.At
+	case e.Outcome != nil && e.Outcome.Done:
 		if !there { // it was withdrawn meanwhile
 			return Result{Refused: "no such dispatch"}
 		}
-		w.Progress, w.Why = Done, "" // the receiver has it, whoever sent it
-	case e.Ended != nil:
-		if w.Progress != Claimed || w.Fence != e.Ended.Fence {
+		w.Progress, w.Reason = Done, "" // the receiver has it, whoever sent it
+	case e.Outcome != nil:
+		if w.Progress != Claimed || w.Fence != e.Outcome.Fence {
 			return Result{Refused: "another has it by now"}
 		}
-		w.Progress, w.Fails = Free, w.Fails+1
-	case e.Vacate != nil:
-		if w.Progress != Claimed || w.Fence != e.Vacate.Fence {
+		w.Progress, w.Failures = Free, w.Failures+1
+	case e.Reclaim != nil:
+		if w.Progress != Claimed || w.Fence != e.Reclaim.Fence {
 			return Result{Refused: "another has it by now"}
 		}
-		w.Progress, w.Fails = Free, w.Fails+1
+		w.Progress, w.Failures = Free, w.Failures+1
 	default:
 		if !planned || w.Progress == Claimed || over {
 			return Result{Refused: "not to be given up"}
 		}
-		w.Progress, w.Why = Dropped, e.Drop.Why
+		w.Progress, w.Reason = Dropped, e.Drop.Reason
 	}
-	w.At = e.At
-	s.Work[name] = w
+	w.ChangedMs = e.At
+	s.Dispatches[name] = w
 	s.tidyWork()
 	return Result{}
 }
 
 // tidyWork forgets dispatches that were withdrawn, unless their owner may be sending them yet.
 func (s *State) tidyWork() {
-	maps.DeleteFunc(s.Work, func(name string, w Work) bool {
+	maps.DeleteFunc(s.Dispatches, func(name string, w DispatchState) bool {
 		_, planned := s.Book.Document.Rules.Dispatches[name]
 		return !planned && w.Progress != Claimed
 	})
@@ -166,47 +166,47 @@
 const seenEvery = time.Minute
 
 // dueWork is what is due of sites and of planned work.
-func (s *State) dueWork(w Watch) []Entry {
+func (s *State) dueWork(w LeaderView) []Entry {
 	var out []Entry
 	met := map[string]contact.State{}
-	for site, state := range w.Met {
-		if x := s.Contacts.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.Unix-x.Seen >= seenEvery.Milliseconds()) {
+	for site, state := range w.SiteStates {
+		if x := s.Contacts.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.UnixMs-x.Seen >= seenEvery.Milliseconds()) {
 			met[site] = state
 		}
 	}
 	if len(met) > 0 {
-		out = append(out, Entry{Seen: &Seen{States: met}})
+		out = append(out, Entry{Observed: &Observed{States: met}})
 	}
 	var jobs []schedule.Job
 	busy := map[string]int{}
-	for _, name := range slices.Sorted(maps.Keys(s.Work)) {
-		if x := s.Work[name]; x.Progress == Claimed {
-			if w.Roll.Over(w.Now, x.Owner, x.Life) {
-				out = append(out, Entry{Vacate: &Vacate{Dispatch: name, Fence: x.Fence}})
+	for _, name := range slices.Sorted(maps.Keys(s.Dispatches)) {
+		if x := s.Dispatches[name]; x.Progress == Claimed {
+			if w.Leases.HasLapsed(w.Now, x.Owner, x.Incarnation) {
+				out = append(out, Entry{Reclaim: &Reclaim{Dispatch: name, Fence: x.Fence}})
 			}
 			busy[x.Owner]++
 		}
 	}
 	for name, d := range s.Book.Document.Rules.Dispatches {
-		x := s.Work[name]
+		x := s.Dispatches[name]
 		if x.Progress == Done || x.Progress == Dropped {
 			continue
 		}
 		jobs = append(jobs, schedule.Job{ID: name, Site: d.Site, Earliest: d.Earliest, Latest: d.Latest, Worth: d.Worth,
-			Took: time.Duration(d.TookMs * float64(time.Millisecond)), Tried: x.Tried, Fails: x.Fails, Out: x.Progress == Claimed})
+			Took: time.Duration(d.TookMs * float64(time.Millisecond)), Tried: x.LastTriedMs, Fails: x.Failures, Out: x.Progress == Claimed})
 	}
 	if len(jobs) == 0 {
 		return out
 	}
-	steps := w.Planned.Plan(w.Unix, jobs, func(site string) schedule.Site { return place{s, site, w.Unix} })
+	steps := w.Schedule.Plan(w.UnixMs, jobs, func(site string) schedule.Site { return place{s, site, w.UnixMs} })
 	for _, step := range steps {
 		switch step.Verdict {
 		case schedule.GiveUp:
-			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Why: step.Why}})
+			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Reason: step.Why}})
 		case schedule.Try:
 			if name := s.owner(w, step.Job, busy); name != "" {
 				busy[name]++
-				out = append(out, Entry{Claim: &Claim{Dispatch: step.Job, Name: name, Life: s.Members[name].Life}})
+				out = append(out, Entry{Claim: &Claim{Dispatch: step.Job, Name: name, Incarnation: s.Members[name].Incarnation}})
 			}
 		}
 	}
@@ -215,18 +215,18 @@
 
 // owner picks the dispatcher for a try: one that is heard and holds the present version, at the site itself where there
 // is one, with the fewest claims; after a failure another one.
-func (s *State) owner(w Watch, dispatch string, busy map[string]int) string {
+func (s *State) owner(w LeaderView, dispatch string, busy map[string]int) string {
 	d := s.Book.Document.Rules.Dispatches[dispatch]
 	var fit []string
 	for name, m := range s.Members {
-		if _, holds, heard := w.Roll.Heard(name, m.Life); m.Life != 0 && heard && holds == s.Book.Document.Head.Version && !w.Roll.Over(w.Now, name, m.Life) {
+		if _, holds, heard := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && heard && holds == s.Book.Document.Head.Version && !w.Leases.HasLapsed(w.Now, name, m.Incarnation) {
 			fit = append(fit, name)
 		}
 	}
 	if len(fit) == 0 {
 		return ""
 	}
-	last := s.Work[dispatch].Owner
+	last := s.Dispatches[dispatch].Owner
 	rank := func(name string) (away, again int, h uint64) {
 		f := fnv.New64a()
 		f.Write([]byte(name + " " + dispatch))
@@ -248,9 +248,9 @@
 // Tasks are the claims of one life of a dispatcher, in order of their names.
 func (s *State) Tasks(name string, life uint64) []Task {
 	var out []Task
-	for _, d := range slices.Sorted(maps.Keys(s.Work)) {
-		x := s.Work[d]
-		if plan, ok := s.Book.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Life == life {
+	for _, d := range slices.Sorted(maps.Keys(s.Dispatches)) {
+		x := s.Dispatches[d]
+		if plan, ok := s.Book.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == life {
 			out = append(out, Task{Dispatch: d, Fence: x.Fence, Work: plan})
 		}
 	}
@@ -265,20 +265,20 @@
 }
 
 // Reach is what is known of a site.
-type Reach struct {
-	State string  `json:"state"` // as it was seen last: up or down
-	Since int64   `json:"since_ms"`
-	Seen  int64   `json:"seen_ms"`
-	Known bool    `json:"known"` // there is evidence enough to plan by it
-	Hour  float64 `json:"in_an_hour"`
+type SiteStatus struct {
+	State       string  `json:"state"` // as it was seen last: up or down
+	SinceMs     int64   `json:"since_ms"`
+	LastSeenMs  int64   `json:"seen_ms"`
+	HasForecast bool    `json:"known"` // there is evidence enough to plan by it
+	UpInAnHour  float64 `json:"in_an_hour"`
 }
 
 // Reached tells of all sites that were ever seen.
-func (s *State) Reached(now int64) map[string]Reach {
-	out := map[string]Reach{}
+func (s *State) SiteStatuses(now int64) map[string]SiteStatus {
+	out := map[string]SiteStatus{}
 	for name, x := range s.Contacts.Sites {
 		f := s.Contacts.Forecast(now, now+time.Hour.Milliseconds(), name, s.calendar(name))
-		r := Reach{State: "up", Since: x.Since, Seen: x.Seen, Known: f.Known, Hour: f.Up}
+		r := SiteStatus{State: "up", SinceMs: x.Since, LastSeenMs: x.Seen, HasForecast: f.Known, UpInAnHour: f.Up}
 		if x.State == contact.Down {
 			r.State = "down"
 		}
@@ -290,7 +290,7 @@
 // Lease is how long a lease a dispatcher at a site gets now. One at a site that is about to be cut off, by the operators'
 // calendar or by a forecast that is known, gets the longest there is: it can't ask again for a while. What that does to D
 // for this site is told with every answer about it.
-func (s *State) Lease(t lease.Terms, site string, now int64) time.Duration {
+func (s *State) LeaseLength(t lease.Terms, site string, now int64) time.Duration {
 	if t.Longest <= t.Length || site == "" {
 		return t.Length
 	}
@@ -310,11 +310,11 @@
 const aboutToGo = 0.5
 
 // Bounds is D for the sites whose dispatchers get longer leases now.
-func (s *State) Bounds(t lease.Terms, now int64) map[string]time.Duration {
+func (s *State) StalenessBounds(t lease.Terms, now int64) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, m := range s.Members {
-		if d := s.Lease(t, m.Site, now); d > t.Length {
-			out[m.Site] = t.BoundOf(d)
+		if d := s.LeaseLength(t, m.Site, now); d > t.Length {
+			out[m.Site] = t.StalenessBoundFor(d)
 		}
 	}
 	return out
--- a/internal/decide/usage/cursor.go
+++ b/internal/decide/usage/cursor.go
@@ -13,7 +13,7 @@
 
 // Batch is what an instance exports under one number; numbers of a life have no gaps.
 type Batch struct {
-	From     Instance
+	Instance Instance
 	Sequence uint64 // from 1
 	Sum      Sum    // of what it holds
 }
@@ -29,21 +29,21 @@
 
 // Verdicts on batches.
 const (
-	Count   Verdict = iota // new: store it, then say so
-	Again                  // seen before: say so, count nothing
-	TooSoon                // an earlier one is missing: refuse
+	Accept     Verdict = iota // new: store it, then say so
+	Duplicate                 // seen before: say so, count nothing
+	OutOfOrder                // an earlier one is missing: refuse
 )
 
 // Take judges a batch. The verdict Count must be made durable together with the batch.
-func (r *Receiver) Take(b Batch) Verdict {
-	switch want := r.next[b.From] + 1; {
+func (r *Receiver) Receive(b Batch) Verdict {
+	switch want := r.next[b.Instance] + 1; {
 	case b.Sequence < want:
-		return Again
+		return Duplicate
 	case b.Sequence > want:
-		return TooSoon
+		return OutOfOrder
 	}
-	r.next[b.From] = b.Sequence
-	return Count
+	r.next[b.Instance] = b.Sequence
+	return Accept
 }
 
 // Cursor is how far an instance's export has come. Danger: moved before the receiver's word, a crash loses a batch;
@@ -51,14 +51,14 @@
 type Cursor struct{ done uint64 }
 
 // Resume continues after what had been confirmed.
-func Resume(done uint64) *Cursor { return &Cursor{done} }
+func ResumeCursor(done uint64) *Cursor { return &Cursor{done} }
 
 // Next is the number to send.
 func (c *Cursor) Next() uint64 { return c.done + 1 }
 
 // Confirmed moves on by the receiver's durable word on a batch, and tells whether the cursor has moved: a word on an
 // earlier batch, come late, moves nothing; one on a batch that was never sent is an error.
-func (c *Cursor) Confirmed(sequence uint64) (moved bool, err error) {
+func (c *Cursor) Confirm(sequence uint64) (moved bool, err error) {
 	switch {
 	case sequence <= c.done:
 		return false, nil
@@ -71,8 +71,8 @@
 
 // Claim is what an instance states of a period: its own figure.
 type Claim struct {
-	From Instance
-	Sum  Sum
+	Instance Instance
+	Sum      Sum
 }
 
 // Finding is what reconciling a period found of one instance.
@@ -88,10 +88,10 @@
 
 // Kinds of findings.
 const (
-	Missing  FindingKind = iota // expected, and neither claim nor batch came: unknown, not zero
-	Differs                     // the claim and what was received are not the same
-	Unstated                    // batches came, no claim
-	Returned                    // another life of a name that has claimed already
+	Missing   FindingKind = iota // expected, and neither claim nor batch came: unknown, not zero
+	Mismatch                     // the claim and what was received are not the same
+	Unclaimed                    // batches came, no claim
+	Restarted                    // another life of a name that has claimed already
 )
 
 // Reconcile holds what instances claim of a period against what was received from them. Expected names the routers
@@ -101,18 +101,18 @@
 	seen := map[string]int{}
 	claimed := map[Instance]bool{}
 	for _, c := range claims {
-		claimed[c.From] = true
-		if seen[c.From.Name]++; seen[c.From.Name] > 1 {
-			out = append(out, Finding{c.From, Returned, c.Sum, received[c.From]})
+		claimed[c.Instance] = true
+		if seen[c.Instance.Name]++; seen[c.Instance.Name] > 1 {
+			out = append(out, Finding{c.Instance, Restarted, c.Sum, received[c.Instance]})
 		}
-		if got, ok := received[c.From]; !ok || got != c.Sum {
-			out = append(out, Finding{c.From, Differs, c.Sum, got})
+		if got, ok := received[c.Instance]; !ok || got != c.Sum {
+			out = append(out, Finding{c.Instance, Mismatch, c.Sum, got})
 		}
 	}
 	for from, sum := range received {
 		if !claimed[from] {
 			seen[from.Name]++
-			out = append(out, Finding{from, Unstated, Sum{}, sum})
+			out = append(out, Finding{from, Unclaimed, Sum{}, sum})
 		}
 	}
 	for _, name := range expected {
--- a/internal/decide/usage/usage.go
+++ b/internal/decide/usage/usage.go
@@ -42,10 +42,12 @@
 type Period int64
 
 // Start is when a period begins.
-func (s Settings) Start(p Period) time.Time { return time.Unix(0, int64(p)*int64(s.Period)).UTC() }
+func (s Settings) PeriodStart(p Period) time.Time {
+	return time.Unix(0, int64(p)*int64(s.Period)).UTC()
+}
 
 // At is the period of a moment.
-func (s Settings) At(t time.Time) Period {
+func (s Settings) PeriodAt(t time.Time) Period {
 	n := t.UnixNano() / int64(s.Period)
 	if t.UnixNano()%int64(s.Period) < 0 {
 		n--
@@ -111,9 +113,9 @@
 
 // Errors of corrections.
 var (
-	ErrKey     = errors.New("a correction needs a key, a reason and an author")
-	ErrAnother = errors.New("the key was used for another correction")
-	ErrFuture  = errors.New("the period has not begun")
+	ErrIncompleteCorrection = errors.New("a correction needs a key, a reason and an author")
+	ErrKeyReused            = errors.New("the key was used for another correction")
+	ErrFuturePeriod         = errors.New("the period has not begun")
 )
 
 // New opens a book at a moment.
@@ -121,7 +123,7 @@
 	if s.Period <= 0 || s.Grace < 0 {
 		return nil, fmt.Errorf("accounts: period %v and grace %v: need more than 0, and 0 or more", s.Period, s.Grace)
 	}
-	b := &Book{s: s, tenants: map[string]bool{}, classes: map[string]bool{}, open: s.At(now.Add(-s.Grace)),
+	b := &Book{s: s, tenants: map[string]bool{}, classes: map[string]bool{}, open: s.PeriodAt(now.Add(-s.Grace)),
 		pages: map[Period]*page{}, keys: map[string]Note{}}
 	for _, t := range s.Tenants {
 		b.tenants[t] = true
@@ -139,7 +141,7 @@
 // steps back must not open a period again; what was closed stays so.
 func (b *Book) Close(now time.Time) []Period {
 	var closed []Period
-	due := b.s.At(now.Add(-b.s.Grace))
+	due := b.s.PeriodAt(now.Add(-b.s.Grace))
 	for p := range b.pages {
 		if p >= b.open && p < due {
 			closed = append(closed, p)
@@ -173,7 +175,7 @@
 func (b *Book) Add(at time.Time, u Use) Period {
 	a := b.account(u.Tenant, u.Class, u.Outcome)
 	sum := Sum{1, u.Attempts, u.Work, u.Worth}
-	p := b.s.At(at)
+	p := b.s.PeriodAt(at)
 	if p >= b.open {
 		b.page(p).sums[a] = b.page(p).sums[a].plus(sum)
 		return p
@@ -193,17 +195,17 @@
 // tenant that has left the settings is corrected under its name.
 func (b *Book) Correct(now time.Time, n Note) (Note, error) {
 	if n.Key == "" || n.Key == lateKey || n.Reason == "" || n.Author == "" {
-		return Note{}, ErrKey
+		return Note{}, ErrIncompleteCorrection
 	}
 	if have, ok := b.keys[n.Key]; ok {
 		n.In = have.In
 		if have != n {
-			return have, ErrAnother
+			return have, ErrKeyReused
 		}
 		return have, nil
 	}
-	if n.For > b.s.At(now) && n.For > b.open {
-		return Note{}, ErrFuture
+	if n.For > b.s.PeriodAt(now) && n.For > b.open {
+		return Note{}, ErrFuturePeriod
 	}
 	n.In = max(n.For, b.open)
 	b.keys[n.Key] = n
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -44,7 +44,7 @@
 }
 
 // New makes a watcher; Run starts it.
-func New(addr string, rule backoff.Rule, limits config.Limits, clock gateway.Clock, sink Sink, count *metrics.Registry,
+func New(addr string, rule backoff.Policy, limits config.Limits, clock gateway.Clock, sink Sink, count *metrics.Registry,
 	log *zap.Logger) *Watcher {
 	return &Watcher{Follower: reconnect.New("discovery", addr, rule, limits, sink.ListingFailed, count, log),
 		limits: limits, clock: clock, sink: sink, count: count,
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -15,7 +15,7 @@
 // that narrows them. The module hears of a cordon as it hears of a drain.
 type rules struct {
 	view    *ruleset.View
-	conduct lease.Conduct
+	conduct lease.Permission
 	hosts   map[logic.ServerID]Host          // as listed
 	lifted  map[logic.ServerID]time.Duration // when the cordon of this life was lifted: it counts as started then
 	news    *logic.ReleaseStatus             // the platform's latest; nil: none yet
@@ -26,7 +26,7 @@
 // ruled is a version of the rules, or another conduct.
 type ruled struct {
 	view    *ruleset.View
-	conduct lease.Conduct
+	conduct lease.Permission
 	heard   chan struct{} // closed once the module knows
 }
 
@@ -34,13 +34,13 @@
 // before Run. The Fleet is what dispatchers tell their registrars of the servers.
 func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
 	f := newFleet(g.clock, coldTime)
-	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.Nothing, hosts: map[logic.ServerID]Host{},
+	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.None, hosts: map[logic.ServerID]Host{},
 		lifted: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
 }
 
 // Ruled brings a version of the rules, or another conduct, and returns once the module knows of it.
-func (g *Gateway) Ruled(ctx context.Context, v *ruleset.View, c lease.Conduct) error {
+func (g *Gateway) Ruled(ctx context.Context, v *ruleset.View, c lease.Permission) error {
 	e := ruled{v, c, make(chan struct{})}
 	if err := g.post(e); err != nil {
 		return err
@@ -143,7 +143,7 @@
 	}
 	d := r.view.Document.Rules
 	g.router.Retune(d.Tenants, d.Worth)
-	if r.conduct != lease.Nothing {
+	if r.conduct != lease.None {
 		return
 	}
 	for ex, c := range g.calls {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -56,7 +56,7 @@
 }
 
 // New makes a client; Run starts it.
-func New(addr string, rule backoff.Rule, limits config.Limits, sink Sink, count *metrics.Registry,
+func New(addr string, rule backoff.Policy, limits config.Limits, sink Sink, count *metrics.Registry,
 	log *zap.Logger) *Client {
 	return &Client{Follower: reconnect.New("platform", addr, rule, limits, func() {}, count, log), limits: limits, sink: sink,
 		count: count, votes: make(chan logic.Vote, limits.MaxOutgoing)}
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -22,7 +22,7 @@
 type Follower struct {
 	name   string // of the peer, in the log and in counters
 	addr   string // the first address
-	rule   backoff.Rule
+	rule   backoff.Policy
 	limits config.Limits
 	lost   func() // told once in a row of failures
 	count  *metrics.Registry
@@ -34,7 +34,7 @@
 }
 
 // New makes a follower; Run starts it.
-func New(name, addr string, rule backoff.Rule, limits config.Limits, lost func(), count *metrics.Registry,
+func New(name, addr string, rule backoff.Policy, limits config.Limits, lost func(), count *metrics.Registry,
 	log *zap.Logger) *Follower {
 	return &Follower{name: name, addr: addr, rule: rule, limits: limits, lost: lost, count: count, log: log,
 		moves: make(chan string, 1)}
@@ -45,7 +45,7 @@
 	Addr string
 
 	of       *Follower
-	pace     *backoff.Pace
+	pace     *backoff.Pacer
 	spoken   bool            // it has brought news; guarded by of.mu
 	replaced context.Context // ends once a later place has brought news
 	replace  context.CancelFunc
@@ -75,7 +75,7 @@
 			earlier.replace()
 		}
 	}
-	if p.pace.Succeeded() && newest {
+	if p.pace.RecordSuccess() && newest {
 		p.of.log.Info(p.of.name + " is back")
 	}
 	return p.replaced.Err() == nil
@@ -166,13 +166,13 @@
 func (p *Place) begin() time.Duration {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
-	return p.pace.Begin()
+	return p.pace.InitialDelay()
 }
 
 func (p *Place) failed() (pause time.Duration, first bool) {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
-	return p.pace.Failed()
+	return p.pace.RecordFailure()
 }
 
 // wait pauses, or until ctx ends.
--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -210,13 +210,13 @@
 		return accord.NewProblem(accord.CodeTerms, "lease, beat, send or drift are set otherwise at this registrar")
 	}
 	v := f.wait(r, func(reply func(any)) any {
-		return propose{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, Knows: e.Knows, Site: e.Site}}, reply}
+		return propose{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, KnownKinds: e.Knows, Site: e.Site}}, reply}
 	})
 	if res, ok := v.(statemachine.Result); ok {
 		if res.Refused != "" {
 			return accord.NewProblem(accord.CodeWrong, res.Refused)
 		}
-		return accord.Enrolled{Life: res.Life}
+		return accord.Enrolled{Life: res.Incarnation}
 	}
 	return v
 }
@@ -322,9 +322,9 @@
 	}
 	w := n.watch()
 	d := n.state.Book.Document
-	s := accord.Status{Cluster: n.opts.Cluster, Role: n.shown.Load().state, Head: d.Head, Bound: n.opts.Terms.Bound().String(), Rules: d.Rules,
-		Waiting: d.Waiting, Work: n.state.Work, Sites: n.state.Reached(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
-	for site, d := range n.state.Bounds(n.opts.Terms, n.unix()) {
+	s := accord.Status{Cluster: n.opts.Cluster, Role: n.shown.Load().state, Head: d.Head, Bound: n.opts.Terms.StalenessBound().String(), Rules: d.Rules,
+		Waiting: d.Waiting, Work: n.state.Dispatches, Sites: n.state.SiteStatuses(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
+	for site, d := range n.state.StalenessBounds(n.opts.Terms, n.unix()) {
 		if s.Bounds == nil {
 			s.Bounds = map[string]string{}
 		}
@@ -332,18 +332,18 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.state.Members)) {
 		m := n.state.Members[name]
-		if m.Life == 0 {
+		if m.Incarnation == 0 {
 			continue
 		}
-		at, holds, heard := n.roll.Heard(name, m.Life)
-		x := accord.Dispatcher{Name: name, Life: m.Life, Mode: m.Mode, Heard: heard, Holds: holds, Unknown: n.unknown[name]}
+		at, holds, heard := n.roll.LastBeat(name, m.Incarnation)
+		x := accord.Dispatcher{Name: name, Life: m.Incarnation, Mode: m.Mode, Heard: heard, Holds: holds, Unknown: n.unknown[name]}
 		if heard {
 			x.Ago = (w.Now - at).Round(time.Millisecond).String()
 		}
 		s.Dispatchers = append(s.Dispatchers, x)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Rules.Expected)) {
-		if m, ok := n.state.Members[name]; !ok || m.Life == 0 {
+		if m, ok := n.state.Members[name]; !ok || m.Incarnation == 0 {
 			s.Expected = append(s.Expected, name)
 		}
 	}
--- a/internal/registrar/members.go
+++ b/internal/registrar/members.go
@@ -92,7 +92,7 @@
 		n.inbox.put(failure{fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)})
 		return
 	}
-	n.state.Replace(told.Name, statemachine.Registrar{ID: told.ID, Addr: told.Addr})
+	n.state.ReplaceRegistrar(told.Name, statemachine.Registrar{ID: told.ID, Addr: told.Addr})
 	n.peers.use(n.state.Registrars)
 	n.show()
 	n.answer(told.Ref, statemachine.Result{})
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -58,7 +58,7 @@
 	lead    uint64
 	leading bool
 	settled bool // an entry of the own term was carried out: the record is as new as any leader's
-	roll    *lease.Roll
+	roll    *lease.Tracker
 	lists   map[string]list
 	reports map[string][]cordon.Report
 	unknown map[string][]string
@@ -271,7 +271,7 @@
 
 // greeted judges a registrar that starts.
 func (n *node) greeted(m greeted) {
-	if slices.Contains(n.state.Gone, m.hello.ID) {
+	if slices.Contains(n.state.FormerRegistrarIDs, m.hello.ID) {
 		m.reply(accord.NewProblem(accord.CodeGone, "this registrar was replaced"))
 		return
 	}
@@ -286,7 +286,7 @@
 }
 
 // removed tells that the record names others in this registrar's place.
-func (n *node) removed() bool { return slices.Contains(n.state.Gone, n.id.ID) }
+func (n *node) removed() bool { return slices.Contains(n.state.FormerRegistrarIDs, n.id.ID) }
 
 // see marks what another registrar was seen to promise: its disk has it, or is not the disk it was.
 func (n *node) see(m *pb.Message, boots uint64) {
@@ -377,7 +377,7 @@
 	leads := s.RaftState == raft.StateLeader
 	if leads && (!n.leading || n.term != status.GetTerm()) {
 		now := n.opts.Clock.Now()
-		n.roll = lease.NewRoll(n.opts.Terms, now)
+		n.roll = lease.NewTracker(n.opts.Terms, now)
 		n.led, n.counted, n.settled, n.due = now, now, false, 0
 		n.forgetHeard()
 		n.log.Info("leads", zap.Uint64("term", status.GetTerm()))
@@ -451,7 +451,7 @@
 
 // show lets other tasks see the newest version.
 func (n *node) show() {
-	s := &shown{document: n.state.Book.Document, registrars: n.state.Registrars, gone: n.state.Gone,
+	s := &shown{document: n.state.Book.Document, registrars: n.state.Registrars, gone: n.state.FormerRegistrarIDs,
 		next: make(chan struct{}), state: accord.Role{Name: n.id.Name, Leader: n.leaderName(),
 			Leads: n.leading, Term: n.rn.BasicStatus().GetTerm(), Applied: n.applied, Version: n.state.Book.Document.Head.Version}}
 	if was := n.shown.Swap(s); was != nil {
@@ -501,13 +501,13 @@
 		return
 	}
 	if b := a.beat; b != nil {
-		if m, ok := n.state.Members[b.Name]; !ok || m.Life != b.Life {
+		if m, ok := n.state.Members[b.Name]; !ok || m.Incarnation != b.Life {
 			a.reply(accord.NewProblem(accord.CodeLife, "this life is not in the record"))
 			return
 		}
-		_, was, _ := n.roll.Heard(b.Name, b.Life)
-		a.length = n.state.Lease(n.opts.Terms, n.state.Members[b.Name].Site, n.unix())
-		n.roll.Asked(a.at, b.Name, b.Life, b.Holds, a.length)
+		_, was, _ := n.roll.LastBeat(b.Name, b.Life)
+		a.length = n.state.LeaseLength(n.opts.Terms, n.state.Members[b.Name].Site, n.unix())
+		n.roll.RecordBeat(a.at, b.Name, b.Life, b.Holds, a.length)
 		n.dirty = n.dirty || b.Holds > was
 		if len(b.Listed) > 0 {
 			n.lists[b.Name] = list{b.List, b.Listed}
@@ -520,7 +520,7 @@
 			n.met[b.Name] = evidence{a.at, b.Met}
 		}
 		for _, e := range b.Ended {
-			n.propose(statemachine.Entry{Ended: &e}, func(any) {})
+			n.propose(statemachine.Entry{Outcome: &e}, func(any) {})
 		}
 		if n.unknown[b.Name] = b.Unknown; len(b.Unknown) == 0 {
 			delete(n.unknown, b.Name)
@@ -568,7 +568,7 @@
 
 // grant gives a lease on the newest version.
 func (n *node) grant(b *accord.Beat, length time.Duration) any {
-	if m := n.state.Members[b.Name]; m.Life != b.Life {
+	if m := n.state.Members[b.Name]; m.Incarnation != b.Life {
 		return accord.NewProblem(accord.CodeLife, "another life took its place")
 	}
 	d := n.state.Book.Document
@@ -629,7 +629,7 @@
 	for name, m := range n.state.Members {
 		for _, c := range a.Changes {
 			known := slices.Contains(ruleset.Kinds, string(c.Kind)) // else it is refused for that
-			if m.Life != 0 && known && !a.Forced && !slices.Contains(m.Knows, string(c.Kind)) {
+			if m.Incarnation != 0 && known && !a.Forced && !slices.Contains(m.KnownKinds, string(c.Kind)) {
 				return accord.NewProblem(accord.CodeWrong, fmt.Sprintf("dispatcher %s does not understand rules of kind %.40q: it would lose its lease", name, string(c.Kind)))
 			}
 		}
@@ -651,11 +651,11 @@
 // present tells whether a dispatcher was heard not long ago: what one told that is gone by now is no evidence.
 func (n *node) present(name string) bool {
 	m, ok := n.state.Members[name]
-	return ok && m.Life != 0 && !n.roll.Over(n.opts.Clock.Now(), name, m.Life)
+	return ok && m.Incarnation != 0 && !n.roll.HasLapsed(n.opts.Clock.Now(), name, m.Incarnation)
 }
 
 // watch is what this leader knows beside the record.
-func (n *node) watch() statemachine.Watch {
+func (n *node) watch() statemachine.LeaderView {
 	now := n.opts.Clock.Now()
 	reports := map[string][]cordon.Report{}
 	for name, r := range n.reports {
@@ -669,13 +669,13 @@
 			met[name] = e.met
 		}
 	}
-	return statemachine.Watch{Roll: n.roll, Now: now, Listed: n.listed, Reports: reports, Auto: n.opts.Auto, Passed: now - n.counted,
-		Met: contact.Pool(met), Unix: n.unix(), Planned: n.opts.Planned}
+	return statemachine.LeaderView{Leases: n.roll, Now: now, ListServers: n.listed, Reports: reports, AutoCordon: n.opts.Auto, Elapsed: now - n.counted,
+		SiteStates: contact.Pool(met), UnixMs: n.unix(), Schedule: n.opts.Planned}
 }
 
 // unix is the wall clock that the record goes by, in ms.
 func (n *node) unix() int64 {
-	return n.opts.Unix().Add(lease.Agreed(slices.Collect(maps.Values(n.clocks)))).UnixMilli()
+	return n.opts.Unix().Add(lease.MedianOffset(slices.Collect(maps.Values(n.clocks)))).UnixMilli()
 }
 
 // dueNow puts what is due before the others.
@@ -685,8 +685,8 @@
 	}
 	n.dirty = false
 	for _, e := range n.state.Due(n.watch()) {
-		if e.Passed != nil {
-			n.counted += time.Duration(e.Passed.Ms) * time.Millisecond
+		if e.Elapsed != nil {
+			n.counted += time.Duration(e.Elapsed.Ms) * time.Millisecond
 		}
 		n.due++
 		n.propose(e, func(v any) {
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -63,7 +63,7 @@
 	s := statemachine.New(o.Budget, o.Cold.Milliseconds())
 	conf := &pb.ConfState{}
 	for name, addr := range o.Registrars {
-		s.Replace(name, statemachine.Registrar{ID: firstID(o.Cluster, name), Addr: addr})
+		s.ReplaceRegistrar(name, statemachine.Registrar{ID: firstID(o.Cluster, name), Addr: addr})
 		conf.Voters = append(conf.Voters, firstID(o.Cluster, name))
 	}
 	text, err := json.Marshal(s)
