--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -89,7 +89,7 @@
 	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.Terms(),
 		Budget: cordon.Budget{Share: a.Budget}, Cold: a.Cold, Planned: a.Planned(),
 		Unix: func() time.Time { return time.Now().Add(a.ClockStep) }, Clock: accord.Clock{Rate: a.ClockRate},
-		Auto: cordon.Auto{Agreeing: a.Auto.Agreeing, Most: a.Auto.Most, Share: a.Auto.Share, Least: a.Auto.Least}}, nil
+		Auto: cordon.AutoPolicy{MinDispatchers: a.Auto.Agreeing, MaxCordons: a.Auto.Most, ErrorShare: a.Auto.Share, MinAnswers: a.Auto.Least}}, nil
 }
 
 func initCommand() *cobra.Command {
--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			return ruleset.Answer{}, err
 		}
-		ask := accord.Ask{Cluster: cluster, Ask: ruleset.Ask{Key: rand.Text(), Base: s.Head.Version, Author: o.author, Reason: o.reason,
+		ask := accord.Ask{Cluster: cluster, ChangeRequest: ruleset.ChangeRequest{Key: rand.Text(), BaseVersion: s.Head.Version, Author: o.author, Reason: o.reason,
 			Forced: o.force, Changes: changes}}
 		var a ruleset.Answer
 		if err := c.Do(ctx, accord.PathAsk, ask, &a); err != nil {
@@ -124,7 +124,7 @@
 			if c.Flags().Changed("born") {
 				t.Born = &born
 			}
-			a, err := o.change(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindCordon, Cordon: &t, For: expires.Milliseconds()})
+			a, err := o.change(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindCordon, Cordon: &t, DurationMs: expires.Milliseconds()})
 			if err != nil {
 				return err
 			}
@@ -260,7 +260,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "agreed as version %d; %d of %d changes wait until all dispatchers know of them\n", a.Version, a.Waits, len(changes))
+			fmt.Fprintf(c.OutOrStdout(), "agreed as version %d; %d of %d changes wait until all dispatchers know of them\n", a.Version, a.PendingCount, len(changes))
 			return nil
 		}}
 	o.changing(c, env)
@@ -321,7 +321,7 @@
 	defer w.Flush()
 	for _, c := range s.Cordons {
 		fmt.Fprintf(w, "cordon\t%s\t%s\t%d of %d\t%s: %s", c.ID, c.State, c.Reached, c.Of, c.Author, c.Reason)
-		if c.State == cordon.Reaching {
+		if c.State == cordon.Propagating {
 			fmt.Fprintf(w, "; missing: %s", missingText(c))
 		}
 		fmt.Fprintf(w, "%s\n", lapsedText(c))
--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -160,7 +160,7 @@
 
 // Print sends a piece of work under its key, with the fence of this claim, and tells whether the receiver has it.
 func (p printer) Print(ctx context.Context, t statemachine.Task) bool {
-	until := time.Now().Add(min(p.longest, max(time.Second, 4*time.Duration(t.Work.TookMs*float64(time.Millisecond)))))
+	until := time.Now().Add(min(p.longest, max(time.Second, 4*time.Duration(t.Work.ExpectedDurationMs*float64(time.Millisecond)))))
 	if latest := time.UnixMilli(t.Work.Latest); latest.Before(until) {
 		until = latest
 	}
--- a/internal/accord/follower.go
+++ b/internal/accord/follower.go
@@ -52,7 +52,7 @@
 	// Listed is the list with a sum over it that changes when it does.
 	Listed() (servers []cordon.Server, sum string)
 	// Reports is what servers have answered of late.
-	Reports() []cordon.Report
+	Reports() []cordon.Evidence
 	// Met is what came of attempts at each site of late.
 	Met() []contact.Evidence
 }
@@ -94,7 +94,7 @@
 // NewFollower makes a follower; Run starts it.
 func NewFollower(o Options, sink Sink, fleet Fleet, count *metrics.Registry, log *zap.Logger) *Follower {
 	if o.Knows == nil {
-		o.Knows = ruleset.Kinds
+		o.Knows = ruleset.SupportedKinds
 	}
 	f := &Follower{Gate: NewGate(o.Mode, o.Clock, count), opts: o, sink: sink, fleet: fleet, count: count, log: log,
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2,
@@ -202,7 +202,7 @@
 // the gate keeps it.
 func (f *Follower) take(ctx context.Context, d ruleset.Document) error {
 	switch {
-	case !d.Genuine():
+	case !d.HasValidHash():
 		f.count.Inc("accord.spoilt")
 		return errSpoiltRules
 	case f.view != nil && d.Head.Version == f.view.Version() && d.Head.Hash != f.view.Document.Head.Hash:
@@ -211,7 +211,7 @@
 	case f.view != nil && d.Head.Version <= f.view.Version():
 		return nil
 	}
-	if f.unknown = ruleset.Unknown(d, f.opts.Knows); len(f.unknown) > 0 {
+	if f.unknown = ruleset.UnsupportedKinds(d, f.opts.Knows); len(f.unknown) > 0 {
 		f.count.Inc("accord.not_understood")
 		return fmt.Errorf("%w: %v", errUnknownRules, f.unknown)
 	}
--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -70,11 +70,11 @@
 		g.count.Inc("accord.held_back")
 		return ErrNoLease
 	}
-	if planned != "" && !g.view.Planned(planned) {
+	if planned != "" && !g.view.IsPlanned(planned) {
 		g.count.Inc("accord.withdrawn")
 		return ErrWithdrawn
 	}
-	if !g.view.Open(host, born) {
+	if !g.view.AllowsNewWork(host, born) {
 		g.count.Inc("accord.cordoned")
 		return ErrCordoned
 	}
@@ -125,7 +125,7 @@
 	done := make(chan struct{})
 	g.empty = done
 	for p := range g.passes {
-		if !v.Open(p.host, p.born) || p.planned != "" && !v.Planned(p.planned) {
+		if !v.AllowsNewWork(p.host, p.born) || p.planned != "" && !v.IsPlanned(p.planned) {
 			g.count.Inc("accord.broken_off")
 			p.broken = true
 			p.abort()
--- a/internal/accord/wire.go
+++ b/internal/accord/wire.go
@@ -58,14 +58,14 @@
 
 // Beat asks for a lease, and tells what the asker has taken in.
 type Beat struct {
-	Cluster string          `json:"cluster"`
-	Name    string          `json:"name"`
-	Life    uint64          `json:"life"`
-	Holds   uint64          `json:"holds"`             // nothing starts under an older version any more
-	Unknown []string        `json:"unknown,omitempty"` // kinds of rules in the newest version that the asker does not understand
-	List    string          `json:"list,omitempty"`    // a sum over Listed
-	Listed  []cordon.Server `json:"listed,omitempty"`  // where the registrar has asked for it
-	Reports []cordon.Report `json:"reports,omitempty"`
+	Cluster string            `json:"cluster"`
+	Name    string            `json:"name"`
+	Life    uint64            `json:"life"`
+	Holds   uint64            `json:"holds"`             // nothing starts under an older version any more
+	Unknown []string          `json:"unknown,omitempty"` // kinds of rules in the newest version that the asker does not understand
+	List    string            `json:"list,omitempty"`    // a sum over Listed
+	Listed  []cordon.Server   `json:"listed,omitempty"`  // where the registrar has asked for it
+	Reports []cordon.Evidence `json:"reports,omitempty"`
 
 	Unix  int64                `json:"unix_ms"`         // the asker's wall clock
 	Met   []contact.Evidence   `json:"met,omitempty"`   // at sites, since the last beat
@@ -92,7 +92,7 @@
 // Ask is an operator's.
 type Ask struct {
 	Cluster string `json:"cluster"`
-	ruleset.Ask
+	ruleset.ChangeRequest
 }
 
 // Retire is an operator's word that a dispatcher has ended.
@@ -122,7 +122,7 @@
 	Bound       string                            `json:"bound"`            // D
 	Bounds      map[string]string                 `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
 	Rules       ruleset.Rules                     `json:"rules"`
-	Waiting     []ruleset.Waiting                 `json:"waiting,omitempty"`
+	Waiting     []ruleset.PendingChange           `json:"waiting,omitempty"`
 	Cordons     []statemachine.Cordon             `json:"cordons,omitempty"`
 	Work        map[string]statemachine.Work      `json:"work,omitempty"`
 	Sites       map[string]statemachine.Reach     `json:"sites,omitempty"`
--- a/internal/decide/contact/contact.go
+++ b/internal/decide/contact/contact.go
@@ -62,7 +62,7 @@
 }
 
 // Ages is what is known of how long stretches of one kind last, by bins of age.
-type Ages struct {
+type DurationModel struct {
 	Exposure [ageBins]float64 `json:"exposure"` // seconds spent at an age
 	Ends     [ageBins]float64 `json:"ends"`
 }
@@ -83,7 +83,7 @@
 }
 
 // spend adds the time from one age to another, without an end.
-func (a *Ages) spend(from, to time.Duration) {
+func (a *DurationModel) spend(from, to time.Duration) {
 	for b := bin(from); from < to && b < ageBins; b++ {
 		until := to
 		if b < ageBins-1 {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (a *Ages) end(age time.Duration) {
+func (a *DurationModel) end(age time.Duration) {
 	for i := range a.Ends {
 		a.Ends[i] *= keepStretch
 		a.Exposure[i] *= keepStretch
@@ -102,7 +102,7 @@
 	a.Ends[bin(age)]++
 }
 
-func (a *Ages) ended() (n float64) {
+func (a *DurationModel) ended() (n float64) {
 	for _, e := range a.Ends {
 		n += e
 	}
@@ -110,12 +110,12 @@
 }
 
 // hazard is the rate at which stretches of an age end, a second. Bins that have seen little lean on the mean of all.
-func (a *Ages) hazard(b int, mean float64) float64 {
+func (a *DurationModel) hazard(b int, mean float64) float64 {
 	return (a.Ends[b] + priorEnds) / (a.Exposure[b] + priorEnds/mean)
 }
 
 // mean is the rate of ends over all ages, a second; an hour's stretch is assumed before any was seen.
-func (a *Ages) mean() float64 {
+func (a *DurationModel) mean() float64 {
 	exposure, ends := 0.0, 0.0
 	for b := range a.Ends {
 		exposure += a.Exposure[b]
@@ -125,7 +125,7 @@
 }
 
 // rates are the hazards of all bins.
-func (a *Ages) rates() (out [ageBins]float64) {
+func (a *DurationModel) rates() (out [ageBins]float64) {
 	mean := a.mean()
 	for b := range out {
 		out[b] = a.hazard(b, mean)
@@ -157,31 +157,31 @@
 
 // Site is what is known of one. Its size is fixed.
 type Site struct {
-	State    State                   `json:"state"`
-	Since    int64                   `json:"since"` // ms: this stretch began, as far as was seen
-	Seen     int64                   `json:"seen"`  // ms: last seen in this state
-	Ages     [2]Ages                 `json:"ages"`  // up; down
-	DayUp    [dayBins]float64        `json:"day_up"`
-	DayAll   [dayBins]float64        `json:"day_all"`
-	DayAt    [dayBins]int64          `json:"day_at"` // the day that was counted last
-	Weights  [looks][experts]float64 `json:"weights"`
-	Pending  [looks][]pending        `json:"pending,omitempty"`
-	PlanYes  float64                 `json:"plan_yes"` // planned outages that came, and all, as they were seen
-	PlanAll  float64                 `json:"plan_all"`
-	PlanSeen int64                   `json:"plan_seen"` // the latest outage that was counted, by its begin
+	State             State                   `json:"state"`
+	Since             int64                   `json:"since"` // ms: this stretch began, as far as was seen
+	Seen              int64                   `json:"seen"`  // ms: last seen in this state
+	Durations         [2]DurationModel        `json:"ages"`  // up; down
+	UpSecondsByBin    [dayBins]float64        `json:"day_up"`
+	SeenSecondsByBin  [dayBins]float64        `json:"day_all"`
+	LastDayByBin      [dayBins]int64          `json:"day_at"` // the day that was counted last
+	Weights           [looks][experts]float64 `json:"weights"`
+	Pending           [looks][]pending        `json:"pending,omitempty"`
+	OutagesOccurred   float64                 `json:"plan_yes"` // planned outages that came, and all, as they were seen
+	OutagesPlanned    float64                 `json:"plan_all"`
+	LastCountedOutage int64                   `json:"plan_seen"` // the latest outage that was counted, by its begin
 }
 
 // Sites is what is known of all.
-type Sites struct {
+type Forecaster struct {
 	Sites map[string]*Site `json:"sites"`
 }
 
 // New knows nothing.
-func New() *Sites { return &Sites{Sites: map[string]*Site{}} }
+func New() *Forecaster { return &Forecaster{Sites: map[string]*Site{}} }
 
 // UnmarshalJSON reads what was kept as part of something larger: what is spoilt is left out, and what it is part of goes on.
-func (s *Sites) UnmarshalJSON(text []byte) error {
-	type plain Sites
+func (s *Forecaster) UnmarshalJSON(text []byte) error {
+	type plain Forecaster
 	var p plain
 	s.Sites = map[string]*Site{}
 	if json.Unmarshal(text, &p) != nil || len(p.Sites) > MaxSites {
@@ -198,14 +198,14 @@
 // sound tells that all numbers can be.
 func (s *Site) sound() bool {
 	ok := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
-	good := s.State >= Unknown && s.State <= Down && s.Seen >= s.Since && ok(s.PlanYes) && ok(s.PlanAll) && s.PlanYes <= s.PlanAll
-	for i := range s.Ages {
+	good := s.State >= Unknown && s.State <= Down && s.Seen >= s.Since && ok(s.OutagesOccurred) && ok(s.OutagesPlanned) && s.OutagesOccurred <= s.OutagesPlanned
+	for i := range s.Durations {
 		for b := range ageBins {
-			good = good && ok(s.Ages[i].Exposure[b]) && ok(s.Ages[i].Ends[b])
+			good = good && ok(s.Durations[i].Exposure[b]) && ok(s.Durations[i].Ends[b])
 		}
 	}
 	for b := range dayBins {
-		good = good && ok(s.DayUp[b]) && ok(s.DayAll[b]) && s.DayUp[b] <= s.DayAll[b]*(1+1e-9)
+		good = good && ok(s.UpSecondsByBin[b]) && ok(s.SeenSecondsByBin[b]) && s.UpSecondsByBin[b] <= s.SeenSecondsByBin[b]*(1+1e-9)
 	}
 	for i := range looks {
 		good = good && len(s.Pending[i]) <= pendings
@@ -240,13 +240,13 @@
 
 // Observe takes what was found of a site at a time, in ms. Unknown leaves the stretch as it was seen last: the time
 // until it is seen again counts only if it is found in the same state.
-func (s *Sites) Observe(now int64, name string, state State, calendar []Span) {
+func (s *Forecaster) Observe(now int64, name string, state State, calendar []Span) {
 	x := s.Sites[name]
 	if x == nil {
 		if state == Unknown || len(s.Sites) >= MaxSites {
 			return
 		}
-		x = &Site{State: state, Since: now, Seen: now, PlanYes: calendarYes, PlanAll: calendarAll}
+		x = &Site{State: state, Since: now, Seen: now, OutagesOccurred: calendarYes, OutagesPlanned: calendarAll}
 		for i := range x.Weights {
 			for e := range x.Weights[i] {
 				x.Weights[i][e] = 1.0 / experts
@@ -262,14 +262,14 @@
 	x.plan(now, state, calendar)
 	since, seen := ms(x.Since), ms(x.Seen)
 	if state == x.State {
-		x.Ages[index(state)].spend(seen-since, ms(now)-since)
+		x.Durations[index(state)].spend(seen-since, ms(now)-since)
 	} else { // it changed somewhere between: in the middle, as far as is known
 		change := (x.Seen + now) / 2
-		a := &x.Ages[index(x.State)]
+		a := &x.Durations[index(x.State)]
 		a.spend(seen-since, ms(change)-since)
 		a.end(ms(change) - since)
 		x.State, x.Since = state, change
-		x.Ages[index(state)].spend(0, ms(now-change))
+		x.Durations[index(state)].spend(0, ms(now-change))
 	}
 	x.Seen = now
 	x.expect(now)
@@ -286,45 +286,45 @@
 // count adds to the hours of the day. Each look adds the time since the one before, at most a bin's.
 func (x *Site) count(now int64, state State) {
 	b, day := hour(now)
-	if gone := day - x.DayAt[b]; gone > 0 {
+	if gone := day - x.LastDayByBin[b]; gone > 0 {
 		keep := math.Pow(keepDay, float64(min(gone, 60)))
-		x.DayUp[b] *= keep
-		x.DayAll[b] *= keep
-		x.DayAt[b] = day
+		x.UpSecondsByBin[b] *= keep
+		x.SeenSecondsByBin[b] *= keep
+		x.LastDayByBin[b] = day
 	}
 	spent := min(float64(now-x.Seen), float64(dayLength.Milliseconds()/dayBins)) / 1000
-	x.DayAll[b] += spent
+	x.SeenSecondsByBin[b] += spent
 	if state == Up {
-		x.DayUp[b] += spent
+		x.UpSecondsByBin[b] += spent
 	}
 }
 
 // plan counts whether planned outages come, once each.
 func (x *Site) plan(now int64, state State, calendar []Span) {
 	c := covering(calendar, now)
-	if c == nil || c.From <= x.PlanSeen || now < c.From+(c.Until-c.From)/4 {
+	if c == nil || c.From <= x.LastCountedOutage || now < c.From+(c.Until-c.From)/4 {
 		return
 	}
-	x.PlanSeen = c.From
-	x.PlanYes, x.PlanAll = x.PlanYes*keepStretch, x.PlanAll*keepStretch+1
+	x.LastCountedOutage = c.From
+	x.OutagesOccurred, x.OutagesPlanned = x.OutagesOccurred*keepStretch, x.OutagesPlanned*keepStretch+1
 	if state == Down {
-		x.PlanYes++
+		x.OutagesOccurred++
 	}
 }
 
 // forecasts are what each expert says of being up at a time.
 func (x *Site) forecasts(now, at int64) (p [experts]float64) {
-	up, down := x.Ages[0].rates(), x.Ages[1].rates()
+	up, down := x.Durations[0].rates(), x.Durations[1].rates()
 	total, ups := 0.0, 0.0
 	for b := range dayBins {
-		total += x.DayAll[b]
-		ups += x.DayUp[b]
+		total += x.SeenSecondsByBin[b]
+		ups += x.UpSecondsByBin[b]
 	}
 	mean := (ups + 60) / (total + 120)
 	b, _ := hour(at)
 	const lean = 120 // seconds of the mean that an hour's own count leans on
 	p[0] = x.renewal(&up, &down, ms(now-x.Since), ms(at-now))
-	p[1] = (x.DayUp[b] + lean*mean) / (x.DayAll[b] + lean)
+	p[1] = (x.UpSecondsByBin[b] + lean*mean) / (x.SeenSecondsByBin[b] + lean)
 	p[2] = mean
 	p[3] = 0.02
 	if x.State == Up {
@@ -346,7 +346,7 @@
 		return 0
 	}
 	rates := [2]*[ageBins]float64{up, down}
-	mean := min(1/x.Ages[0].mean(), 1/x.Ages[1].mean())
+	mean := min(1/x.Durations[0].mean(), 1/x.Durations[1].mean())
 	steps := max(leastSteps, min(mostSteps, int(stretchPart*d.Seconds()/mean)))
 	dt := d / time.Duration(steps)
 	var alive [2][mostSteps + 1]float64 // chance to have begun a stretch of this kind so many steps ago, and still be in it
@@ -422,15 +422,15 @@
 
 // Forecast is what can be said of a site at a time.
 type Forecast struct {
-	Up    float64 // chance to be reached
-	Known bool    // there is evidence enough to plan by it
+	UpProbability float64 // chance to be reached
+	HasEvidence   bool    // there is evidence enough to plan by it
 }
 
 // Forecast tells how likely a site is to be reached at a time.
-func (s *Sites) Forecast(now, at int64, name string, calendar []Span) Forecast {
+func (s *Forecaster) Forecast(now, at int64, name string, calendar []Span) Forecast {
 	x := s.Sites[name]
 	if x == nil {
-		return Forecast{Up: 0.5}
+		return Forecast{UpProbability: 0.5}
 	}
 	at = max(at, now)
 	p := x.forecasts(now, at)
@@ -438,29 +438,29 @@
 	for e := range experts {
 		mix += w[e] * p[e]
 	}
-	f := Forecast{Up: mix, Known: min(x.Ages[0].ended(), x.Ages[1].ended()) >= enough*0.8}
-	right := x.PlanYes / max(1, x.PlanAll)
+	f := Forecast{UpProbability: mix, HasEvidence: min(x.Durations[0].ended(), x.Durations[1].ended()) >= enough*0.8}
+	right := x.OutagesOccurred / max(1, x.OutagesPlanned)
 	switch planned, present := covering(calendar, at), covering(calendar, now); {
 	case planned != nil && (x.State == Down || planned != present):
-		f.Up *= 1 - right // it is expected, unless it is under way and the site is seen to be up
-		f.Known = true
+		f.UpProbability *= 1 - right // it is expected, unless it is under way and the site is seen to be up
+		f.HasEvidence = true
 	case planned != nil: // planned for now, and it has not come so far
-		f.Up *= 1 - right*0.5
+		f.UpProbability *= 1 - right*0.5
 	case present != nil && x.State == Down: // the outage that is under way will be over by then
-		f.Up = right*max(f.Up, p[2]) + (1-right)*f.Up
-		f.Known = true
+		f.UpProbability = right*max(f.UpProbability, p[2]) + (1-right)*f.UpProbability
+		f.HasEvidence = true
 	}
-	f.Up = min(sure, max(1-sure, f.Up))
+	f.UpProbability = min(sure, max(1-sure, f.UpProbability))
 	return f
 }
 
 // Lasts is the chance that a site, once reached at a time, stays so for d.
-func (s *Sites) Lasts(now, at int64, name string, d time.Duration) float64 {
+func (s *Forecaster) StayUpProbability(now, at int64, name string, d time.Duration) float64 {
 	x := s.Sites[name]
 	if x == nil {
 		return 0.5
 	}
-	up := x.Ages[0].rates()
+	up := x.Durations[0].rates()
 	age := time.Duration(0)
 	if x.State == Up {
 		age = ms(max(at, now) - x.Since)
@@ -470,15 +470,15 @@
 
 // Evidence is what one dispatcher met at one site since it told last.
 type Evidence struct {
-	Site     string `json:"site"`
-	Answered int    `json:"answered"` // attempts that brought any answer in time or late, also an error or a refusal
-	Silent   int    `json:"silent"`   // attempts and connections that nothing came of
+	Site       string `json:"site"`
+	Answered   int    `json:"answered"` // attempts that brought any answer in time or late, also an error or a refusal
+	Unanswered int    `json:"silent"`   // attempts and connections that nothing came of
 }
 
 // Pool makes states of sites from what dispatchers met. Danger: one that is cut off by itself meets silence at all sites,
 // and would have them all for lost; whoever has had no answer from anywhere says nothing about any site. A slow site
 // answers late, and is not a lost one. Sites that nobody had anything to do with stay unknown.
-func Pool(reports map[string][]Evidence) map[string]State {
+func MergeEvidence(reports map[string][]Evidence) map[string]State {
 	reached, missed := map[string]int{}, map[string]int{}
 	for _, list := range reports {
 		answered := 0
@@ -489,7 +489,7 @@
 			switch {
 			case e.Answered > 0:
 				reached[e.Site]++
-			case e.Silent >= silentEnough && answered > 0:
+			case e.Unanswered >= silentEnough && answered > 0:
 				missed[e.Site]++
 			}
 		}
--- a/internal/decide/ruleset/ruleset.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -23,10 +23,10 @@
 
 // Bounds of the document and of an asking.
 const (
-	MaxRules   = 64 << 10 // bytes of the rules, with what waits, as JSON
-	MaxChanges = 64       // of one asking
-	MaxText    = 512      // bytes of a name, a reason or a key
-	keptKeys   = 4096     // answers that are kept for repeats
+	MaxRulesBytes = 64 << 10 // bytes of the rules, with what waits, as JSON
+	MaxChanges    = 64       // of one asking
+	MaxTextBytes  = 512      // bytes of a name, a reason or a key
+	keptKeys      = 4096     // answers that are kept for repeats
 )
 
 // Kind is a kind of change.
@@ -49,20 +49,20 @@
 )
 
 // Kinds is all that this program understands.
-var Kinds = []string{string(KindCordon), string(KindLift), string(KindCeiling), string(KindFreeze), string(KindThaw),
+var SupportedKinds = []string{string(KindCordon), string(KindLift), string(KindCeiling), string(KindFreeze), string(KindThaw),
 	string(KindTenant), string(KindWorth), string(KindSite), string(KindDispatch), string(KindWithdraw), string(KindExpect),
 	string(KindDismiss)}
 
 // Change is one change of the rules. Which fields count depends on its kind.
 type Change struct {
-	Kind   Kind           `json:"kind"`
-	Name   string         `json:"name,omitempty"`  // of the tenant, class, site, dispatch or dispatcher; a cordon's ID to lift
-	Value  *float64       `json:"value,omitempty"` // a share, a worth or a ceiling; nil takes the rule away
-	Cordon *cordon.Target `json:"cordon,omitempty"`
-	For    int64          `json:"for_ms,omitempty"` // of a cordon: it expires after so long; 0: never by itself
-	Auto   bool           `json:"auto,omitempty"`   // of a cordon: by the dispatchers' own evidence
-	Site   *Site          `json:"site,omitempty"`
-	Work   *Work          `json:"work,omitempty"`
+	Kind       Kind           `json:"kind"`
+	Name       string         `json:"name,omitempty"`  // of the tenant, class, site, dispatch or dispatcher; a cordon's ID to lift
+	Value      *float64       `json:"value,omitempty"` // a share, a worth or a ceiling; nil takes the rule away
+	Cordon     *cordon.Target `json:"cordon,omitempty"`
+	DurationMs int64          `json:"for_ms,omitempty"` // of a cordon: it expires after so long; 0: never by itself
+	Automatic  bool           `json:"auto,omitempty"`   // of a cordon: by the dispatchers' own evidence
+	Site       *Site          `json:"site,omitempty"`
+	Dispatch   *Dispatch      `json:"work,omitempty"`
 }
 
 // Span is a stretch of time, in Unix milliseconds.
@@ -77,19 +77,19 @@
 }
 
 // Work is a dispatch: a piece of planned work, sent once, to a receiver in a site.
-type Work struct {
-	Site     string  `json:"site"`
-	Class    string  `json:"class"`  // of request, as the settings name it
-	Target   string  `json:"target"` // path and query that it asks for
-	Body     string  `json:"body,omitempty"`
-	Earliest int64   `json:"earliest_ms"`
-	Latest   int64   `json:"latest_ms"`
-	Worth    float64 `json:"worth"`
-	TookMs   float64 `json:"took_ms,omitempty"` // it is expected to take so long
+type Dispatch struct {
+	Site               string  `json:"site"`
+	Class              string  `json:"class"`  // of request, as the settings name it
+	Target             string  `json:"target"` // path and query that it asks for
+	Body               string  `json:"body,omitempty"`
+	Earliest           int64   `json:"earliest_ms"`
+	Latest             int64   `json:"latest_ms"`
+	Worth              float64 `json:"worth"`
+	ExpectedDurationMs float64 `json:"took_ms,omitempty"` // it is expected to take so long
 }
 
 // Note is who set something, why and when.
-type Note struct {
+type Provenance struct {
 	Author string `json:"author"`
 	Reason string `json:"reason"`
 	Since  int64  `json:"since_ms"`
@@ -97,42 +97,42 @@
 
 // Rules are the rules in force, as one document.
 type Rules struct {
-	Cordons    map[string]cordon.Order `json:"cordons,omitempty"`
-	Ceiling    *float64                `json:"ceiling,omitempty"`
-	Freeze     *Note                   `json:"freeze,omitempty"`
-	Tenants    map[string]float64      `json:"tenants,omitempty"`
-	Worth      map[string]float64      `json:"worth,omitempty"`
-	Sites      map[string]Site         `json:"sites,omitempty"`
-	Dispatches map[string]Work         `json:"dispatches,omitempty"`
-	Expected   map[string]Note         `json:"expected,omitempty"`
-	Lifted     map[string]int64        `json:"lifted,omitempty"` // by host, Unix ms: cordons lifted of late; they come back cold
+	Cordons    map[string]cordon.Cordon `json:"cordons,omitempty"`
+	Ceiling    *float64                 `json:"ceiling,omitempty"`
+	Freeze     *Provenance              `json:"freeze,omitempty"`
+	Tenants    map[string]float64       `json:"tenants,omitempty"`
+	Worth      map[string]float64       `json:"worth,omitempty"`
+	Sites      map[string]Site          `json:"sites,omitempty"`
+	Dispatches map[string]Dispatch      `json:"dispatches,omitempty"`
+	Expected   map[string]Provenance    `json:"expected,omitempty"`
+	Lifted     map[string]int64         `json:"lifted,omitempty"` // by host, Unix ms: cordons lifted of late; they come back cold
 }
 
 // Waiting is a change that is agreed and not yet in force.
-type Waiting struct {
+type PendingChange struct {
 	Version uint64 `json:"version"` // that announced it
 	Change  Change `json:"change"`
-	Note
+	Provenance
 }
 
 // Head tells a version from all others.
 type Head struct {
-	Version uint64 `json:"version"`
-	Before  string `json:"before"` // the hash of the version before
-	Hash    string `json:"hash"`   // over the version, the one before, who asked and why, and the whole document
-	Note
-	Opens uint64 `json:"opens,omitempty"` // not a change of its own: what waits up to this version is in force now
+	Version      uint64 `json:"version"`
+	PreviousHash string `json:"before"` // the hash of the version before
+	Hash         string `json:"hash"`   // over the version, the one before, who asked and why, and the whole document
+	Provenance
+	ActivatesUpTo uint64 `json:"opens,omitempty"` // not a change of its own: what waits up to this version is in force now
 }
 
 // Document is one whole version.
 type Document struct {
-	Head    Head      `json:"head"`
-	Rules   Rules     `json:"rules"`
-	Waiting []Waiting `json:"waiting,omitempty"`
+	Head    Head            `json:"head"`
+	Rules   Rules           `json:"rules"`
+	Pending []PendingChange `json:"waiting,omitempty"`
 }
 
 // Seal is the hash of a document, whatever its Head.Hash says.
-func (d Document) Seal() string {
+func (d Document) ComputeHash() string {
 	d.Head.Hash = ""
 	text, err := json.Marshal(d) // maps are written in order of their keys
 	if err != nil {
@@ -143,10 +143,10 @@
 }
 
 // Genuine tells whether a document is whole and as it was agreed.
-func (d Document) Genuine() bool { return d.Head.Hash == d.Seal() }
+func (d Document) HasValidHash() bool { return d.Head.Hash == d.ComputeHash() }
 
 // Needs lists the kinds of rules that a document holds, in order.
-func (d Document) Needs() []string {
+func (d Document) RuleKinds() []string {
 	var out []string
 	need := func(k Kind, there bool) {
 		if there {
@@ -166,31 +166,31 @@
 }
 
 // Ask is what an operator, or the registrars themselves, want changed.
-type Ask struct {
-	Key      string          `json:"key"`  // its own; a repeat gets the first answer
-	Base     uint64          `json:"base"` // the version that it rests on
-	Author   string          `json:"author"`
-	Reason   string          `json:"reason"`
-	Forced   bool            `json:"forced,omitempty"`
-	Changes  []Change        `json:"changes"`
-	Evidence []cordon.Server `json:"evidence,omitempty"` // what the dispatchers list, put in by the leader
+type ChangeRequest struct {
+	Key         string          `json:"key"`  // its own; a repeat gets the first answer
+	BaseVersion uint64          `json:"base"` // the version that it rests on
+	Author      string          `json:"author"`
+	Reason      string          `json:"reason"`
+	Forced      bool            `json:"forced,omitempty"`
+	Changes     []Change        `json:"changes"`
+	Evidence    []cordon.Server `json:"evidence,omitempty"` // what the dispatchers list, put in by the leader
 }
 
 // Answer is what became of an Ask.
 type Answer struct {
-	Version uint64 `json:"version"`           // that it made; of the present one where it was refused
-	Refused string `json:"refused,omitempty"` // a code; empty: agreed
-	Text    string `json:"text,omitempty"`
-	Waits   int    `json:"waits,omitempty"` // of its changes, those that are in force only once all dispatchers know
+	Version      uint64 `json:"version"`           // that it made; of the present one where it was refused
+	Refused      string `json:"refused,omitempty"` // a code; empty: agreed
+	Text         string `json:"text,omitempty"`
+	PendingCount int    `json:"waits,omitempty"` // of its changes, those that are in force only once all dispatchers know
 }
 
 // Codes of refusals.
 const (
-	RefusedStale  = "stale"  // it rests on a version that is not the present one
-	RefusedKey    = "key"    // another asking had this key
-	RefusedWrong  = "wrong"  // it can't be
-	RefusedBudget = "budget" // of cordons
-	RefusedLarge  = "large"  // the document would be larger than MaxRules
+	RefusedStale     = "stale"  // it rests on a version that is not the present one
+	RefusedKeyReused = "key"    // another asking had this key
+	RefusedInvalid   = "wrong"  // it can't be
+	RefusedBudget    = "budget" // of cordons
+	RefusedTooLarge  = "large"  // the document would be larger than MaxRules
 )
 
 // kept is an answer for repeats.
@@ -201,10 +201,10 @@
 }
 
 // Book is the present version, and what it takes to judge the next. Every registrar's is the same.
-type Book struct {
+type State struct {
 	Document Document      `json:"document"`
 	Budget   cordon.Budget `json:"budget"`
-	Cold     int64         `json:"cold_ms"` // a server whose cordon was lifted is cold for so long
+	ColdMs   int64         `json:"cold_ms"` // a server whose cordon was lifted is cold for so long
 	Answers  []kept        `json:"answers,omitempty"`
 
 	byKey map[string]int // index into Answers; made when first needed
@@ -212,10 +212,10 @@
 }
 
 // New is version 1, which holds nothing.
-func New(budget cordon.Budget, coldMs int64) *Book {
-	b := &Book{Budget: budget, Cold: coldMs}
-	b.Document.Head = Head{Version: 1, Note: Note{Author: "registrar", Reason: "the first version"}}
-	b.Document.Head.Hash = b.Document.Seal()
+func New(budget cordon.Budget, coldMs int64) *State {
+	b := &State{Budget: budget, ColdMs: coldMs}
+	b.Document.Head = Head{Version: 1, Provenance: Provenance{Author: "registrar", Reason: "the first version"}}
+	b.Document.Head.Hash = b.Document.ComputeHash()
 	return b
 }
 
@@ -229,15 +229,15 @@
 	wrong := func(format string, args ...any) error {
 		return errWrong(string(c.Kind) + ": " + fmt.Sprintf(format, args...))
 	}
-	if len(c.Name) > MaxText {
-		return wrong("the name is longer than %d bytes", MaxText)
+	if len(c.Name) > MaxTextBytes {
+		return wrong("the name is longer than %d bytes", MaxTextBytes)
 	}
 	if c.Value != nil && (math.IsNaN(*c.Value) || math.IsInf(*c.Value, 0) || *c.Value < 0) {
 		return wrong("expected a number from 0, got %v", *c.Value)
 	}
 	switch c.Kind {
 	case KindCordon:
-		if c.Cordon == nil || c.Cordon.Host == "" || len(c.Cordon.Host) > MaxText || c.For < 0 {
+		if c.Cordon == nil || c.Cordon.Host == "" || len(c.Cordon.Host) > MaxTextBytes || c.DurationMs < 0 {
 			return wrong("expected a host, and a time from 0")
 		}
 	case KindLift, KindTenant, KindWorth, KindWithdraw, KindExpect, KindDismiss:
@@ -261,10 +261,10 @@
 			}
 		}
 	case KindDispatch:
-		if c.Name == "" || c.Work == nil || c.Work.Site == "" || c.Work.Class == "" || c.Work.Target == "" {
+		if c.Name == "" || c.Dispatch == nil || c.Dispatch.Site == "" || c.Dispatch.Class == "" || c.Dispatch.Target == "" {
 			return wrong("expected a name, and work with site, class and target")
 		}
-		if w := c.Work; w.Latest <= w.Earliest || !(w.Worth >= 0) || math.IsInf(w.Worth, 0) || !(w.TookMs >= 0) || math.IsInf(w.TookMs, 0) {
+		if w := c.Dispatch; w.Latest <= w.Earliest || !(w.Worth >= 0) || math.IsInf(w.Worth, 0) || !(w.ExpectedDurationMs >= 0) || math.IsInf(w.ExpectedDurationMs, 0) {
 			return wrong("expected a latest time after the earliest, and a worth and a time from 0")
 		}
 	default:
@@ -327,11 +327,11 @@
 }
 
 // put carries out one change.
-func (r *Rules) put(c Change, n Note, forced bool) {
+func (r *Rules) put(c Change, n Provenance, forced bool) {
 	switch c.Kind {
 	case KindCordon:
-		set(&r.Cordons, c.Cordon.ID(), cordon.Order{Target: *c.Cordon, Author: n.Author, Reason: n.Reason, Since: n.Since, For: c.For,
-			Forced: forced, Auto: c.Auto})
+		set(&r.Cordons, c.Cordon.ID(), cordon.Cordon{Target: *c.Cordon, Author: n.Author, Reason: n.Reason, Since: n.Since, DurationMs: c.DurationMs,
+			Forced: forced, Automatic: c.Automatic})
 		delete(r.Lifted, c.Cordon.Host)
 	case KindLift:
 		if o, ok := r.Cordons[c.Name]; ok {
@@ -355,7 +355,7 @@
 			set(&r.Sites, c.Name, *c.Site)
 		}
 	case KindDispatch:
-		set(&r.Dispatches, c.Name, *c.Work)
+		set(&r.Dispatches, c.Name, *c.Dispatch)
 	case KindWithdraw:
 		delete(r.Dispatches, c.Name)
 	case KindExpect:
@@ -389,7 +389,7 @@
 }
 
 // sum tells askings apart; the leader's evidence is no part of what was asked.
-func (a Ask) sum() string {
+func (a ChangeRequest) sum() string {
 	a.Evidence = nil
 	text, err := json.Marshal(a)
 	if err != nil {
@@ -401,7 +401,7 @@
 
 // Ask judges an asking and makes the next version of it, or refuses it; now is Unix time in milliseconds, by the clock
 // of the leader that took it. Danger: an operator whose answer was lost asks again; the same key gets the same answer.
-func (b *Book) Ask(a Ask, now int64) Answer {
+func (b *State) Submit(a ChangeRequest, now int64) Answer {
 	if b.byKey == nil {
 		b.byKey = map[string]int{}
 		for i, k := range b.Answers {
@@ -411,12 +411,12 @@
 	sum := a.sum()
 	if i, ok := b.byKey[a.Key]; ok && a.Key != "" {
 		if b.Answers[i].Sum != sum {
-			return Answer{Version: b.Document.Head.Version, Refused: RefusedKey, Text: "another asking had this key"}
+			return Answer{Version: b.Document.Head.Version, Refused: RefusedKeyReused, Text: "another asking had this key"}
 		}
 		return b.Answers[i].Answer
 	}
 	answer := b.judge(a, now)
-	if a.Key == "" || len(a.Key) > MaxText {
+	if a.Key == "" || len(a.Key) > MaxTextBytes {
 		return answer
 	}
 	if len(b.Answers) >= keptKeys { // one that is forgotten rests on a version long gone, and is refused for that
@@ -431,49 +431,49 @@
 	return answer
 }
 
-func (b *Book) judge(a Ask, now int64) Answer {
+func (b *State) judge(a ChangeRequest, now int64) Answer {
 	head := b.Document.Head
 	refuse := func(code, text string) Answer { return Answer{Version: head.Version, Refused: code, Text: text} }
 	switch {
 	case a.Key == "" || a.Author == "" || a.Reason == "":
-		return refuse(RefusedWrong, "expected a key, an author and a reason")
-	case len(a.Key) > MaxText || len(a.Author) > MaxText || len(a.Reason) > MaxText:
-		return refuse(RefusedWrong, "a key, an author or a reason is longer than "+strconv.Itoa(MaxText)+" bytes")
+		return refuse(RefusedInvalid, "expected a key, an author and a reason")
+	case len(a.Key) > MaxTextBytes || len(a.Author) > MaxTextBytes || len(a.Reason) > MaxTextBytes:
+		return refuse(RefusedInvalid, "a key, an author or a reason is longer than "+strconv.Itoa(MaxTextBytes)+" bytes")
 	case len(a.Changes) == 0 || len(a.Changes) > MaxChanges:
-		return refuse(RefusedWrong, "expected 1 to "+strconv.Itoa(MaxChanges)+" changes")
-	case a.Base != head.Version:
-		return refuse(RefusedStale, fmt.Sprintf("it rests on version %d, the present one is %d", a.Base, head.Version))
+		return refuse(RefusedInvalid, "expected 1 to "+strconv.Itoa(MaxChanges)+" changes")
+	case a.BaseVersion != head.Version:
+		return refuse(RefusedStale, fmt.Sprintf("it rests on version %d, the present one is %d", a.BaseVersion, head.Version))
 	}
-	step := Step{Head: Head{Version: head.Version + 1, Before: head.Hash, Note: Note{Author: a.Author, Reason: a.Reason, Since: now}},
+	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash, Provenance: Provenance{Author: a.Author, Reason: a.Reason, Since: now}},
 		Changes: a.Changes, Forced: a.Forced}
 	// Each change is judged on the rules as the ones before it in the same asking leave them.
 	next := b.Document.begin(step.Head)
 	for _, c := range a.Changes {
 		if err := c.check(); err != nil {
-			return refuse(RefusedWrong, err.Error())
+			return refuse(RefusedInvalid, err.Error())
 		}
 		if c.Kind == KindCordon && !a.Forced {
 			if _, there := next.Rules.Cordons[c.Cordon.ID()]; !there {
-				if err := b.Budget.Judge(*c.Cordon, next.Rules.Cordons, a.Evidence); err != nil {
+				if err := b.Budget.Check(*c.Cordon, next.Rules.Cordons, a.Evidence); err != nil {
 					return refuse(RefusedBudget, err.Error())
 				}
 			}
 		}
 		if err := next.fits(c); err != nil {
-			return refuse(RefusedWrong, err.Error())
+			return refuse(RefusedInvalid, err.Error())
 		}
 		next.add(c, a.Forced)
 	}
 	if !b.seal(&next, step) {
-		return refuse(RefusedLarge, "the document would be larger than "+strconv.Itoa(MaxRules)+" bytes")
+		return refuse(RefusedTooLarge, "the document would be larger than "+strconv.Itoa(MaxRulesBytes)+" bytes")
 	}
 	waits := 0
-	for _, w := range next.Waiting {
+	for _, w := range next.Pending {
 		if w.Version == next.Head.Version {
 			waits++
 		}
 	}
-	return Answer{Version: next.Head.Version, Waits: waits}
+	return Answer{Version: next.Head.Version, PendingCount: waits}
 }
 
 // Step is what makes a version out of the one before.
@@ -485,7 +485,7 @@
 
 // begin is the next version before its changes.
 func (d Document) begin(h Head) Document {
-	return Document{Head: h, Rules: d.Rules.clone(), Waiting: slices.Clone(d.Waiting)}
+	return Document{Head: h, Rules: d.Rules.clone(), Pending: slices.Clone(d.Pending)}
 }
 
 // fits tells what keeps a change, right by itself, from these rules.
@@ -498,7 +498,7 @@
 		}
 	case KindWithdraw:
 		_, there = d.Rules.Dispatches[c.Name]
-		if !there && !slices.ContainsFunc(d.Waiting, func(w Waiting) bool { return w.Change.about() == c.about() }) {
+		if !there && !slices.ContainsFunc(d.Pending, func(w PendingChange) bool { return w.Change.about() == c.about() }) {
 			return errWrong("withdraw: no such dispatch")
 		}
 	case KindDispatch:
@@ -511,22 +511,22 @@
 
 // add carries out a change that narrows, and lets any other wait.
 func (d *Document) add(c Change, forced bool) {
-	d.Waiting = slices.DeleteFunc(d.Waiting, func(w Waiting) bool { return w.Change.about() == c.about() })
+	d.Pending = slices.DeleteFunc(d.Pending, func(w PendingChange) bool { return w.Change.about() == c.about() })
 	if d.Rules.Narrows(c) {
-		d.Rules.put(c, d.Head.Note, forced)
+		d.Rules.put(c, d.Head.Provenance, forced)
 		return
 	}
-	d.Waiting = append(d.Waiting, Waiting{Version: d.Head.Version, Change: c, Note: d.Head.Note})
+	d.Pending = append(d.Pending, PendingChange{Version: d.Head.Version, Change: c, Provenance: d.Head.Provenance})
 }
 
 // open puts in force what waits up to a version, and tells how much that was.
 func (d *Document) open(upTo uint64) int {
 	opened := 0
-	d.Waiting = slices.DeleteFunc(d.Waiting, func(w Waiting) bool {
+	d.Pending = slices.DeleteFunc(d.Pending, func(w PendingChange) bool {
 		if w.Version > upTo {
 			return false
 		}
-		n := w.Note
+		n := w.Provenance
 		n.Since = d.Head.Since
 		d.Rules.put(w.Change, n, false)
 		opened++
@@ -545,64 +545,64 @@
 
 // Follow makes the version that a step made out of a document; the record keeps steps, and whole versions are read
 // back with it. An error tells that the two do not belong together, or that one of them is spoilt.
-func Follow(d Document, step Step, coldMs int64) (Document, error) {
-	if step.Head.Version != d.Head.Version+1 || step.Head.Before != d.Head.Hash {
+func ApplyStep(d Document, step Step, coldMs int64) (Document, error) {
+	if step.Head.Version != d.Head.Version+1 || step.Head.PreviousHash != d.Head.Hash {
 		return d, fmt.Errorf("version %d does not follow version %d", step.Head.Version, d.Head.Version)
 	}
 	next := d.begin(step.Head)
 	for _, c := range step.Changes {
 		next.add(c, step.Forced)
 	}
-	if step.Head.Opens > 0 {
-		next.open(step.Head.Opens)
+	if step.Head.ActivatesUpTo > 0 {
+		next.open(step.Head.ActivatesUpTo)
 	}
 	next.forget(coldMs)
-	if !next.Genuine() {
+	if !next.HasValidHash() {
 		return d, fmt.Errorf("version %d is not what its hash says", step.Head.Version)
 	}
 	return next, nil
 }
 
 // seal makes a document the present version, unless it is too large.
-func (b *Book) seal(next *Document, step Step) bool {
-	next.forget(b.Cold)
+func (b *State) seal(next *Document, step Step) bool {
+	next.forget(b.ColdMs)
 	text, err := json.Marshal(struct {
 		Rules   Rules
-		Waiting []Waiting
-	}{next.Rules, next.Waiting})
-	if err != nil || len(text) > MaxRules {
+		Waiting []PendingChange
+	}{next.Rules, next.Pending})
+	if err != nil || len(text) > MaxRulesBytes {
 		return false
 	}
-	next.Head.Hash = next.Seal()
+	next.Head.Hash = next.ComputeHash()
 	step.Head = next.Head
 	b.Document, b.last = *next, step
 	return true
 }
 
 // Last is the step that made the present version; its Version is 0 where it was made before this process.
-func (b *Book) Last() Step { return b.last }
+func (b *State) LastStep() Step { return b.last }
 
 // Ready is the newest version that announced something which waits; 0: nothing does.
-func (b *Book) Ready() uint64 {
+func (b *State) NewestPending() uint64 {
 	newest := uint64(0)
-	for _, w := range b.Document.Waiting {
+	for _, w := range b.Document.Pending {
 		newest = max(newest, w.Version)
 	}
 	return newest
 }
 
 // ErrNothing tells that nothing waits up to a version.
-var ErrNothing = errors.New("nothing waits up to this version")
+var ErrNothingPending = errors.New("nothing waits up to this version")
 
 // Open puts in force what was announced up to a version, as a version of its own. The caller has made sure that no
 // dispatcher acts on an older one any more.
-func (b *Book) Open(upTo uint64, now int64) error {
+func (b *State) Activate(upTo uint64, now int64) error {
 	head := b.Document.Head
-	step := Step{Head: Head{Version: head.Version + 1, Before: head.Hash, Opens: upTo,
-		Note: Note{Author: "registrar", Reason: "all dispatchers know of it", Since: now}}}
+	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash, ActivatesUpTo: upTo,
+		Provenance: Provenance{Author: "registrar", Reason: "all dispatchers know of it", Since: now}}}
 	next := b.Document.begin(step.Head)
 	if next.open(upTo) == 0 {
-		return ErrNothing
+		return ErrNothingPending
 	}
 	if !b.seal(&next, step) {
 		return errWrong("the document would be too large")
@@ -611,7 +611,7 @@
 }
 
 // Clone is a copy that goes its own way.
-func (b *Book) Clone() *Book {
+func (b *State) Clone() *State {
 	c := *b
 	c.Answers, c.byKey = slices.Clone(b.Answers), nil
 	return &c
--- a/internal/decide/ruleset/view.go
+++ b/internal/decide/ruleset/view.go
@@ -11,12 +11,12 @@
 // View is a document as a dispatcher acts on it. It is never changed once made.
 type View struct {
 	Document Document
-	cordons  map[string][]cordon.Order // by host
+	cordons  map[string][]cordon.Cordon // by host
 }
 
 // NewView reads a document.
 func NewView(d Document) *View {
-	v := &View{Document: d, cordons: map[string][]cordon.Order{}}
+	v := &View{Document: d, cordons: map[string][]cordon.Cordon{}}
 	for _, o := range d.Rules.Cordons {
 		v.cordons[o.Host] = append(v.cordons[o.Host], o)
 	}
@@ -24,15 +24,15 @@
 }
 
 // Unknown lists the kinds of rules in a document that a program which knows some does not understand.
-func Unknown(d Document, knows []string) []string {
-	return slices.DeleteFunc(d.Needs(), func(k string) bool { return slices.Contains(knows, k) })
+func UnsupportedKinds(d Document, knows []string) []string {
+	return slices.DeleteFunc(d.RuleKinds(), func(k string) bool { return slices.Contains(knows, k) })
 }
 
 // Version is the document's.
 func (v *View) Version() uint64 { return v.Document.Head.Version }
 
 // Open tells whether a life of a server may be sent new work.
-func (v *View) Open(host string, born int64) bool {
+func (v *View) AllowsNewWork(host string, born int64) bool {
 	for _, o := range v.cordons[host] {
 		if o.Covers(host, born) {
 			return false
@@ -42,7 +42,7 @@
 }
 
 // Planned tells whether a piece of planned work is still to be done.
-func (v *View) Planned(name string) bool {
+func (v *View) IsPlanned(name string) bool {
 	_, ok := v.Document.Rules.Dispatches[name]
 	return ok
 }
@@ -51,8 +51,8 @@
 func (v *View) LiftedAt(host string) int64 { return v.Document.Rules.Lifted[host] }
 
 // State is a server's place in its life as its list tells, narrowed by the rules.
-func (v *View) State(host string, born int64, listed logic.ServerState) logic.ServerState {
-	if listed == logic.Ready && !v.Open(host, born) {
+func (v *View) RestrictState(host string, born int64, listed logic.ServerState) logic.ServerState {
+	if listed == logic.Ready && !v.AllowsNewWork(host, born) {
 		return logic.Draining
 	}
 	return listed
@@ -60,7 +60,7 @@
 
 // Release narrows the platform's news: the exposure of a build on trial keeps under the ceiling, and without a lease
 // nothing goes to it.
-func (v *View) Release(s logic.ReleaseStatus, c lease.Conduct) logic.ReleaseStatus {
+func (v *View) RestrictRelease(s logic.ReleaseStatus, c lease.Conduct) logic.ReleaseStatus {
 	if s.Phase != logic.OnTrial {
 		return s
 	}
@@ -74,7 +74,7 @@
 }
 
 // Vote narrows a vote: during a freeze, and without a lease, none takes a build further.
-func (v *View) Vote(x logic.Vote, c lease.Conduct) logic.Vote {
+func (v *View) RestrictVote(x logic.Vote, c lease.Conduct) logic.Vote {
 	if x.Verdict == logic.VoteOn && (v.Document.Rules.Freeze != nil || c != lease.Full) {
 		x.Verdict = logic.VoteHold
 	}
--- a/internal/decide/schedule/schedule.go
+++ b/internal/decide/schedule/schedule.go
@@ -16,40 +16,40 @@
 
 // Job is a piece of planned work that is not done.
 type Job struct {
-	ID       string
-	Site     string
-	Earliest int64 // ms
-	Latest   int64 // it has to be done by then
-	Worth    float64
-	Took     time.Duration // it is expected to take so long
-	Tried    int64         // when it was tried last, in ms; 0: never
-	Fails    int           // tries that nothing came of
-	Out      bool          // it is being tried
+	ID               string
+	Site             string
+	Earliest         int64 // ms
+	Latest           int64 // it has to be done by then
+	Worth            float64
+	ExpectedDuration time.Duration // it is expected to take so long
+	LastTriedMs      int64         // when it was tried last, in ms; 0: never
+	FailedTries      int           // tries that nothing came of
+	InFlight         bool          // it is being tried
 }
 
 // Settings are the prices and bounds of a plan.
 type Settings struct {
-	Waste   float64       // price of a try that nothing comes of, in worth
-	Step    time.Duration // a plan is made so often
-	Ahead   int           // times that are looked at between now and a job's latest
-	Room    int           // tries that may be out at one site together, when it is warm
-	Cold    time.Duration // a site that has come back is cold for so long
-	Restart float64       // part of Room at its return; it grows evenly to all of it
+	FailedTryCost  float64       // price of a try that nothing comes of, in worth
+	PlanInterval   time.Duration // a plan is made so often
+	LookAheadSteps int           // times that are looked at between now and a job's latest
+	MaxInFlight    int           // tries that may be out at one site together, when it is warm
+	ColdPeriod     time.Duration // a site that has come back is cold for so long
+	ColdShare      float64       // part of Room at its return; it grows evenly to all of it
 }
 
 // DefaultSettings are for sites with a few servers.
 func DefaultSettings() Settings {
-	return Settings{Waste: 0.05, Step: time.Second, Ahead: 24, Room: 8, Cold: time.Minute, Restart: 0.25}
+	return Settings{FailedTryCost: 0.05, PlanInterval: time.Second, LookAheadSteps: 24, MaxInFlight: 8, ColdPeriod: time.Minute, ColdShare: 0.25}
 }
 
 // Site is what a plan needs to know of one.
 type Site interface {
 	// Up is the chance that the site is reached at a time, and whether there is evidence to say so.
-	Up(at int64) (p float64, known bool)
+	UpProbability(at int64) (p float64, known bool)
 	// Lasts is the chance that it stays so for d from then on.
-	Lasts(at int64, d time.Duration) float64
+	StayUpProbability(at int64, d time.Duration) float64
 	// Reached tells whether it is seen to be up now, and since when, in ms; at is when it was seen last.
-	Reached() (up bool, since, at int64)
+	LastObservation() (up bool, since, at int64)
 }
 
 // What is to be done with a job.
@@ -63,61 +63,61 @@
 )
 
 // Step is one of a plan.
-type Step struct {
-	Job     string
-	Verdict Verdict
-	At      int64  // of a Wait: when it looks best, in ms
-	Why     string // of a GiveUp
+type Decision struct {
+	Job       string
+	Verdict   Verdict
+	RetryAtMs int64  // of a Wait: when it looks best, in ms
+	Reason    string // of a GiveUp
 }
 
 // room is how many tries may be out at a site at its age since its return. Danger: all that has waited would come at
 // once to servers that have just started.
 func (s Settings) room(site Site, now int64) int {
-	up, since, _ := site.Reached()
+	up, since, _ := site.LastObservation()
 	if !up {
 		return 1 // a try that finds out
 	}
 	warm := 1.0
-	if age := time.Duration(now-since) * time.Millisecond; age < s.Cold {
-		warm = s.Restart + (1-s.Restart)*float64(age)/float64(s.Cold)
+	if age := time.Duration(now-since) * time.Millisecond; age < s.ColdPeriod {
+		warm = s.ColdShare + (1-s.ColdShare)*float64(age)/float64(s.ColdPeriod)
 	}
-	return max(1, int(float64(s.Room)*warm))
+	return max(1, int(float64(s.MaxInFlight)*warm))
 }
 
 // gain is what a try at a time is expected to bring: the worth if it comes to its end, less the price if it does not.
 func (s Settings) gain(j Job, site Site, at int64) (gain, chance float64) {
-	p, _ := site.Up(at)
-	p *= site.Lasts(at, j.Took)
-	return p*j.Worth - (1-p)*s.Waste*math.Max(j.Worth, 1e-9), p
+	p, _ := site.UpProbability(at)
+	p *= site.StayUpProbability(at, j.ExpectedDuration)
+	return p*j.Worth - (1-p)*s.FailedTryCost*math.Max(j.Worth, 1e-9), p
 }
 
 // Plan tells what to do with each job now. Jobs that are out count towards the room of their sites.
-func (s Settings) Plan(now int64, jobs []Job, site func(name string) Site) []Step {
-	var out []Step
+func (s Settings) Plan(now int64, jobs []Job, site func(name string) Site) []Decision {
+	var out []Decision
 	taken := map[string]int{}
 	var open []Job
 	for _, j := range jobs {
 		switch {
-		case j.Out:
+		case j.InFlight:
 			taken[j.Site]++
-		case now+j.Took.Milliseconds() > j.Latest:
-			out = append(out, Step{Job: j.ID, Verdict: GiveUp, Why: "it can't be done in time any more"})
+		case now+j.ExpectedDuration.Milliseconds() > j.Latest:
+			out = append(out, Decision{Job: j.ID, Verdict: GiveUp, Reason: "it can't be done in time any more"})
 		case now < j.Earliest:
-			out = append(out, Step{Job: j.ID, Verdict: Wait, At: j.Earliest})
+			out = append(out, Decision{Job: j.ID, Verdict: Wait, RetryAtMs: j.Earliest})
 		default:
 			open = append(open, j)
 		}
 	}
 	// What would be lost first goes first; of two with the same time, the one that is worth more.
 	slices.SortFunc(open, func(a, b Job) int {
-		return cmp.Or(cmp.Compare(a.Latest-a.Took.Milliseconds(), b.Latest-b.Took.Milliseconds()), cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Latest-a.ExpectedDuration.Milliseconds(), b.Latest-b.ExpectedDuration.Milliseconds()), cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.ID, b.ID))
 	})
 	for _, j := range open {
 		x := site(j.Site)
 		step := s.judge(now, j, x)
 		if step.Verdict == Try {
 			if taken[j.Site] >= s.room(x, now) {
-				step = Step{Job: j.ID, Verdict: Wait, At: now + s.Step.Milliseconds()}
+				step = Decision{Job: j.ID, Verdict: Wait, RetryAtMs: now + s.PlanInterval.Milliseconds()}
 			} else {
 				taken[j.Site]++
 			}
@@ -128,24 +128,24 @@
 }
 
 // judge weighs a try now against the best time that is left.
-func (s Settings) judge(now int64, j Job, site Site) Step {
-	last := j.Latest - j.Took.Milliseconds()
-	up, _, seen := site.Reached()
-	if j.Tried >= seen { // nothing has been seen of the site since that try; a failed one says that it is down
+func (s Settings) judge(now int64, j Job, site Site) Decision {
+	last := j.Latest - j.ExpectedDuration.Milliseconds()
+	up, _, seen := site.LastObservation()
+	if j.LastTriedMs >= seen { // nothing has been seen of the site since that try; a failed one says that it is down
 		up = false
 	}
 	mine, chance := s.gain(j, site, now)
-	_, known := site.Up(now)
+	_, known := site.UpProbability(now)
 	if !known {
 		// Nothing is known: as it was seen last, and otherwise again and again with growing pauses.
-		if up || j.Fails == 0 || now >= j.Tried+s.pause(j) {
-			return Step{Job: j.ID, Verdict: Try}
+		if up || j.FailedTries == 0 || now >= j.LastTriedMs+s.pause(j) {
+			return Decision{Job: j.ID, Verdict: Try}
 		}
-		return Step{Job: j.ID, Verdict: Wait, At: min(last, j.Tried+s.pause(j))}
+		return Decision{Job: j.ID, Verdict: Wait, RetryAtMs: min(last, j.LastTriedMs+s.pause(j))}
 	}
 	best, at := math.Inf(-1), now
-	for i := 1; i <= s.Ahead; i++ {
-		t := now + (last-now)*int64(i)/int64(s.Ahead)
+	for i := 1; i <= s.LookAheadSteps; i++ {
+		t := now + (last-now)*int64(i)/int64(s.LookAheadSteps)
 		if t <= now {
 			continue
 		}
@@ -156,21 +156,21 @@
 	// A try that fails is not the end: the later times are still there. So it costs its price, no more, and is worth it
 	// where its chance makes up for that; a little is added for what may come between.
 	later := math.Max(0, best)
-	tryNow := chance*j.Worth + (1-chance)*(later-s.Waste*j.Worth)
+	tryNow := chance*j.Worth + (1-chance)*(later-s.FailedTryCost*j.Worth)
 	switch {
 	case up && tryNow >= later:
-		return Step{Job: j.ID, Verdict: Try}
+		return Decision{Job: j.ID, Verdict: Try}
 	case up && chance >= surely:
-		return Step{Job: j.ID, Verdict: Try}
-	case !up && mine > 0 && tryNow > later*(1+margin) && now >= j.Tried+s.pause(j):
-		return Step{Job: j.ID, Verdict: Try}
-	case !up && last-now <= s.Step.Milliseconds() && chance > s.Waste:
-		return Step{Job: j.ID, Verdict: Try} // the last chance there is
+		return Decision{Job: j.ID, Verdict: Try}
+	case !up && mine > 0 && tryNow > later*(1+margin) && now >= j.LastTriedMs+s.pause(j):
+		return Decision{Job: j.ID, Verdict: Try}
+	case !up && last-now <= s.PlanInterval.Milliseconds() && chance > s.FailedTryCost:
+		return Decision{Job: j.ID, Verdict: Try} // the last chance there is
 	}
 	if at <= now {
-		at = now + s.Step.Milliseconds()
+		at = now + s.PlanInterval.Milliseconds()
 	}
-	return Step{Job: j.ID, Verdict: Wait, At: at}
+	return Decision{Job: j.ID, Verdict: Wait, RetryAtMs: at}
 }
 
 const (
@@ -181,9 +181,9 @@
 // pause is what is waited after a try that failed, where nothing else tells: doubled each time, up to a quarter of what
 // the job has.
 func (s Settings) pause(j Job) int64 {
-	if j.Fails == 0 {
+	if j.FailedTries == 0 {
 		return 0
 	}
-	most := max(s.Step.Milliseconds(), (j.Latest-j.Earliest)/4)
-	return min(most, s.Step.Milliseconds()<<min(j.Fails, 20))
+	most := max(s.PlanInterval.Milliseconds(), (j.Latest-j.Earliest)/4)
+	return min(most, s.PlanInterval.Milliseconds()<<min(j.FailedTries, 20))
 }
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -26,18 +26,18 @@
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
 
-	Ask     *ruleset.Ask `json:"ask,omitempty"`
-	Enrol   *Enrol       `json:"enrol,omitempty"`
-	Open    *Open        `json:"open,omitempty"`
-	Confirm *Confirm     `json:"confirm,omitempty"`
-	Forget  *Forget      `json:"forget,omitempty"`
-	Retire  *Retire      `json:"retire,omitempty"`
-	Passed  *Passed      `json:"passed,omitempty"`
-	Seen    *Seen        `json:"seen,omitempty"`
-	Claim   *Claim       `json:"claim,omitempty"`
-	Ended   *Ended       `json:"ended,omitempty"`
-	Vacate  *Vacate      `json:"vacate,omitempty"`
-	Drop    *Drop        `json:"drop,omitempty"`
+	Ask     *ruleset.ChangeRequest `json:"ask,omitempty"`
+	Enrol   *Enrol                 `json:"enrol,omitempty"`
+	Open    *Open                  `json:"open,omitempty"`
+	Confirm *Confirm               `json:"confirm,omitempty"`
+	Forget  *Forget                `json:"forget,omitempty"`
+	Retire  *Retire                `json:"retire,omitempty"`
+	Passed  *Passed                `json:"passed,omitempty"`
+	Seen    *Seen                  `json:"seen,omitempty"`
+	Claim   *Claim                 `json:"claim,omitempty"`
+	Ended   *Ended                 `json:"ended,omitempty"`
+	Vacate  *Vacate                `json:"vacate,omitempty"`
+	Drop    *Drop                  `json:"drop,omitempty"`
 }
 
 // Enrol gives a life to a dispatcher.
@@ -90,14 +90,14 @@
 
 // State is the whole record.
 type State struct {
-	Book      *ruleset.Book           `json:"book"`
+	Book      *ruleset.State          `json:"book"`
 	Members   map[string]lease.Member `json:"members"`
 	Lives     uint64                  `json:"lives"` // the number of the last one given
 	Confirmed map[string]Confirmation `json:"confirmed"`
 	Agreed    map[string]uint64       `json:"agreed"` // by cordon: the version that brought it
 	Retired   map[string]Retire       `json:"retired,omitempty"`
 	Left      map[string]int64        `json:"left,omitempty"` // by cordon that expires: ms until then
-	Contacts  *contact.Sites          `json:"contacts"`
+	Contacts  *contact.Forecaster     `json:"contacts"`
 	Work      map[string]Work         `json:"work,omitempty"` // by dispatch
 	Fence     uint64                  `json:"fence"`          // of the latest claim
 
@@ -145,7 +145,7 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	if s.Book == nil || s.Contacts == nil || !s.Book.Document.Genuine() {
+	if s.Book == nil || s.Contacts == nil || !s.Book.Document.HasValidHash() {
 		return nil, errors.New("record: not whole")
 	}
 	return s, nil
@@ -165,7 +165,7 @@
 	before := s.Book.Document.Head.Version
 	r := s.apply(e, term)
 	if s.Book.Document.Head.Version != before {
-		step := s.Book.Last()
+		step := s.Book.LastStep()
 		r.Step = &step
 		s.follow()
 	}
@@ -180,12 +180,12 @@
 	}
 	switch {
 	case e.Ask != nil:
-		a := s.Book.Ask(*e.Ask, e.At)
+		a := s.Book.Submit(*e.Ask, e.At)
 		return Result{Answer: a, Refused: a.Refused}
 	case e.Enrol != nil:
 		return s.enrol(*e.Enrol)
 	case e.Open != nil:
-		if err := s.Book.Open(e.Open.Version, e.At); err != nil {
+		if err := s.Book.Activate(e.Open.Version, e.At); err != nil {
 			return Result{Refused: err.Error()}
 		}
 	case e.Confirm != nil:
@@ -240,7 +240,7 @@
 // enrol gives a dispatcher its life. Danger: a process that was killed and comes back under its name may meet a lease
 // of its earlier life that still stands somewhere; that life is waited for like a dispatcher of its own.
 func (s *State) enrol(e Enrol) Result {
-	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxText || len(e.Token) > ruleset.MaxText || len(e.Knows) > 64 ||
+	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxTextBytes || len(e.Token) > ruleset.MaxTextBytes || len(e.Knows) > 64 ||
 		e.Mode != lease.Hold && e.Mode != lease.Serve {
 		return Result{Refused: "expected a name, a token and a mode"}
 	}
@@ -266,7 +266,7 @@
 
 // lifting tells whether a cordon's lifting is agreed and waits.
 func (s *State) lifting(id string) bool {
-	return slices.ContainsFunc(s.Book.Document.Waiting, func(w ruleset.Waiting) bool {
+	return slices.ContainsFunc(s.Book.Document.Pending, func(w ruleset.PendingChange) bool {
 		return w.Change.Kind == ruleset.KindLift && w.Change.Name == id
 	})
 }
@@ -292,12 +292,12 @@
 			s.Agreed[id] = d.Head.Version
 		}
 	}
-	for _, c := range s.Book.Last().Changes { // also one that stands already and is asked for again
+	for _, c := range s.Book.LastStep().Changes { // also one that stands already and is asked for again
 		if c.Kind != ruleset.KindCordon {
 			continue
 		}
-		if delete(s.Left, c.Cordon.ID()); c.For > 0 {
-			s.Left[c.Cordon.ID()] = c.For
+		if delete(s.Left, c.Cordon.ID()); c.DurationMs > 0 {
+			s.Left[c.Cordon.ID()] = c.DurationMs
 		}
 	}
 }
@@ -305,7 +305,7 @@
 // Cordon is how far one has got.
 type Cordon struct {
 	ID string `json:"id"`
-	cordon.Order
+	cordon.Cordon
 	Version   uint64          `json:"version"` // that brought it
 	State     cordon.State    `json:"state"`
 	Confirmed *Confirmation   `json:"confirmed,omitempty"`
@@ -317,10 +317,10 @@
 // Watch is what a leader knows at a moment, beside the record.
 type Watch struct {
 	Roll    *lease.Roll
-	Now     time.Duration              // on the leader's clock
-	Listed  func() []cordon.Server     // as the dispatchers list them, pooled
-	Reports map[string][]cordon.Report // by dispatcher: its evidence on servers, of late
-	Auto    cordon.Auto
+	Now     time.Duration                // on the leader's clock
+	Listed  func() []cordon.Server       // as the dispatchers list them, pooled
+	Reports map[string][]cordon.Evidence // by dispatcher: its evidence on servers, of late
+	Auto    cordon.AutoPolicy
 	Met     map[string]contact.State // by site: what the dispatchers met there of late, pooled
 	Unix    int64                    // ms
 	Planned schedule.Settings
@@ -331,7 +331,7 @@
 func (s *State) Cordons(w Watch) []Cordon {
 	var out []Cordon
 	for _, id := range slices.Sorted(maps.Keys(s.Book.Document.Rules.Cordons)) {
-		c := Cordon{ID: id, Order: s.Book.Document.Rules.Cordons[id], Version: s.Agreed[id], State: cordon.Reaching, Of: s.living()}
+		c := Cordon{ID: id, Cordon: s.Book.Document.Rules.Cordons[id], Version: s.Agreed[id], State: cordon.Propagating, Of: s.living()}
 		c.Missing = w.Roll.Missing(w.Now, s.Members, c.Version)
 		c.Reached = c.Of
 		for _, m := range c.Missing {
@@ -369,11 +369,11 @@
 	var out []Entry
 	d := &s.Book.Document
 	for _, c := range s.Cordons(w) {
-		if c.State == cordon.Reaching && len(c.Missing) == 0 {
+		if c.State == cordon.Propagating && len(c.Missing) == 0 {
 			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Of: c.Of, Lapsed: s.lapsed(w, c.Version)}})
 		}
 	}
-	if v := s.Book.Ready(); v > 0 && !slices.ContainsFunc(w.Roll.Missing(w.Now, s.Members, v), func(m lease.Missing) bool {
+	if v := s.Book.NewestPending(); v > 0 && !slices.ContainsFunc(w.Roll.Missing(w.Now, s.Members, v), func(m lease.Missing) bool {
 		return m.Left > 0 // who serves without a lease keeps to the last version it heard, and nobody waits for it here
 	}) {
 		out = append(out, Entry{Open: &Open{Version: v}})
@@ -386,19 +386,19 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Left)) {
 		if s.Left[id] == 0 && !s.lifting(id) {
-			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.Agreed[id]), Base: d.Head.Version,
+			out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("expire %s %d", id, s.Agreed[id]), BaseVersion: d.Head.Version,
 				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
 			break // the next one rests on the version that this makes
 		}
 	}
 	out = append(out, s.dueWork(w)...)
-	for _, host := range w.Auto.Suspects(w.Reports, d.Rules.Cordons) {
-		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.Listed()) != nil {
+	for _, host := range w.Auto.Outliers(w.Reports, d.Rules.Cordons) {
+		if s.Book.Budget.Check(cordon.Target{Host: host}, d.Rules.Cordons, w.Listed()) != nil {
 			continue // it would be refused, again and again
 		}
-		out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), Base: d.Head.Version,
+		out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), BaseVersion: d.Head.Version,
 			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.Listed(),
-			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Auto: true}}}})
+			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Automatic: true}}}})
 		break
 	}
 	return out
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -145,16 +145,16 @@
 	now  int64
 }
 
-func (p place) Up(at int64) (float64, bool) {
+func (p place) UpProbability(at int64) (float64, bool) {
 	f := p.s.Contacts.Forecast(p.now, at, p.name, p.s.calendar(p.name))
-	return f.Up, f.Known
+	return f.UpProbability, f.HasEvidence
 }
 
-func (p place) Lasts(at int64, d time.Duration) float64 {
-	return p.s.Contacts.Lasts(p.now, at, p.name, d)
+func (p place) StayUpProbability(at int64, d time.Duration) float64 {
+	return p.s.Contacts.StayUpProbability(p.now, at, p.name, d)
 }
 
-func (p place) Reached() (bool, int64, int64) {
+func (p place) LastObservation() (bool, int64, int64) {
 	x := p.s.Contacts.Sites[p.name]
 	if x == nil {
 		return false, 0, -1
@@ -193,7 +193,7 @@
 			continue
 		}
 		jobs = append(jobs, schedule.Job{ID: name, Site: d.Site, Earliest: d.Earliest, Latest: d.Latest, Worth: d.Worth,
-			Took: time.Duration(d.TookMs * float64(time.Millisecond)), Tried: x.Tried, Fails: x.Fails, Out: x.Progress == Claimed})
+			ExpectedDuration: time.Duration(d.ExpectedDurationMs * float64(time.Millisecond)), LastTriedMs: x.Tried, FailedTries: x.Fails, InFlight: x.Progress == Claimed})
 	}
 	if len(jobs) == 0 {
 		return out
@@ -202,7 +202,7 @@
 	for _, step := range steps {
 		switch step.Verdict {
 		case schedule.GiveUp:
-			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Why: step.Why}})
+			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Why: step.Reason}})
 		case schedule.Try:
 			if name := s.owner(w, step.Job, busy); name != "" {
 				busy[name]++
@@ -259,9 +259,9 @@
 
 // Task is a claim as its owner is told of it.
 type Task struct {
-	Dispatch string       `json:"dispatch"`
-	Fence    uint64       `json:"fence"`
-	Work     ruleset.Work `json:"work"`
+	Dispatch string           `json:"dispatch"`
+	Fence    uint64           `json:"fence"`
+	Work     ruleset.Dispatch `json:"work"`
 }
 
 // Reach is what is known of a site.
@@ -278,7 +278,7 @@
 	out := map[string]Reach{}
 	for name, x := range s.Contacts.Sites {
 		f := s.Contacts.Forecast(now, now+time.Hour.Milliseconds(), name, s.calendar(name))
-		r := Reach{State: "up", Since: x.Since, Seen: x.Seen, Known: f.Known, Hour: f.Up}
+		r := Reach{State: "up", Since: x.Since, Seen: x.Seen, Known: f.HasEvidence, Hour: f.UpProbability}
 		if x.State == contact.Down {
 			r.State = "down"
 		}
@@ -300,7 +300,7 @@
 			return t.Longest
 		}
 	}
-	if f := s.Contacts.Forecast(now, soon, site, nil); f.Known && f.Up < aboutToGo {
+	if f := s.Contacts.Forecast(now, soon, site, nil); f.HasEvidence && f.UpProbability < aboutToGo {
 		return t.Longest
 	}
 	return t.Length
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -58,7 +58,7 @@
 // Planned are the settings of planned work.
 func (a Accord) Planned() schedule.Settings {
 	s := schedule.DefaultSettings()
-	s.Room, s.Cold = a.Room, a.Cold
+	s.MaxInFlight, s.ColdPeriod = a.Room, a.Cold
 	return s
 }
 
@@ -112,7 +112,7 @@
 	t := lease.DefaultTerms()
 	return Features{Ledger: Ledger{Period: time.Hour, Grace: time.Minute, OnFailure: "refuse"},
 		Accord: Accord{Mode: string(lease.Hold), Lease: t.Length, Beat: t.Beat, Send: t.Send, Drift: t.Drift,
-			Budget: cordon.DefaultBudget().Share, Cold: time.Minute, Room: schedule.DefaultSettings().Room, Auto: Auto{Share: 0.5, Least: 20, Most: 1}}}
+			Budget: cordon.DefaultBudget().Share, Cold: time.Minute, Room: schedule.DefaultSettings().MaxInFlight, Auto: Auto{Share: 0.5, Least: 20, Most: 1}}}
 }
 
 // Load reads a file, which read makes an object of; without a path everything is off. A wrong file is a
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -20,12 +20,12 @@
 
 	mu    sync.Mutex
 	hosts map[logic.ServerID]Host
-	heard map[logic.ServerID]cordon.Report // since the last Reports
-	sites map[string]contact.Evidence      // since the last Met
+	heard map[logic.ServerID]cordon.Evidence // since the last Reports
+	sites map[string]contact.Evidence        // since the last Met
 }
 
 func newFleet(clock Clock, coldTime time.Duration) *Fleet {
-	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, heard: map[logic.ServerID]cordon.Report{}, sites: map[string]contact.Evidence{}}
+	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, heard: map[logic.ServerID]cordon.Evidence{}, sites: map[string]contact.Evidence{}}
 }
 
 // set takes the list as it stands now.
@@ -53,7 +53,7 @@
 	case o == logic.OK || o == logic.ServerError || o == logic.Rejected || result.Refused:
 		e.Answered++
 	case o == logic.TimedOut || o == logic.ConnectFailed:
-		e.Silent++
+		e.Unanswered++
 	}
 	f.sites[h.Zone] = e
 	if o != logic.OK && o != logic.ServerError {
@@ -63,7 +63,7 @@
 	r.Host = h.Name
 	r.Answered++
 	if o == logic.ServerError {
-		r.Erred++
+		r.Errors++
 	}
 	f.heard[id] = r
 }
@@ -75,7 +75,7 @@
 	now := f.clock.Now()
 	for _, h := range f.hosts {
 		servers = append(servers, cordon.Server{Host: h.Name, Born: h.Born, Site: h.Zone, Class: h.Class, Build: int(h.Build),
-			Weight: h.Weight, Out: h.State != logic.Ready || h.Started > 0 && now < h.Started+f.coldTime})
+			Weight: h.Weight, OutOfService: h.State != logic.Ready || h.Started > 0 && now < h.Started+f.coldTime})
 	}
 	slices.SortFunc(servers, func(a, b cordon.Server) int { return cmp.Compare(a.Host, b.Host) })
 	h := fnv.New64a()
@@ -97,14 +97,14 @@
 }
 
 // Reports is what servers have answered since it was last asked for.
-func (f *Fleet) Reports() []cordon.Report {
+func (f *Fleet) Reports() []cordon.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := []cordon.Report{}
+	out := []cordon.Evidence{}
 	for _, r := range f.heard {
 		out = append(out, r)
 	}
 	clear(f.heard)
-	slices.SortFunc(out, func(a, b cordon.Report) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(out, func(a, b cordon.Evidence) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -405,7 +405,7 @@
 		g.parts.Peers.Post(a)
 	case logic.Vote:
 		if g.rules != nil {
-			a = g.rules.view.Vote(a, g.rules.conduct)
+			a = g.rules.view.RestrictVote(a, g.rules.conduct)
 		}
 		g.parts.Platform.Vote(a)
 	case logic.Watch: // the watch of discovery always stands or is being renewed
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -99,7 +99,7 @@
 		r.lifted[h.ID] = at
 	}
 	h.Started = max(h.Started, r.lifted[h.ID])
-	h.State = r.view.State(h.Name, h.Born, h.State)
+	h.State = r.view.RestrictState(h.Name, h.Born, h.State)
 	return h
 }
 
@@ -110,7 +110,7 @@
 		kept.IsReply = false
 		r.news, r.newsAt = &kept, now
 	}
-	return r.view.Release(e, r.conduct)
+	return r.view.RestrictRelease(e, r.conduct)
 }
 
 // rule takes a version in, or another conduct: what it changes for servers, for the build on trial, for shares and worths
@@ -135,7 +135,7 @@
 		g.feed(event)
 	}
 	if r.news != nil && r.news.Phase == logic.OnTrial {
-		if now := r.view.Release(*r.news, r.conduct); now.Cap != g.last.Cap || now.Build != g.last.Build {
+		if now := r.view.RestrictRelease(*r.news, r.conduct); now.Cap != g.last.Cap || now.Build != g.last.Build {
 			again := *r.news
 			again.Age += g.clock.Now() - r.newsAt
 			g.release(again)
--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -235,7 +235,7 @@
 	if wrong := f.take(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
 		return wrong
 	}
-	v := f.wait(r, func(reply func(any)) any { return propose{statemachine.Entry{Ask: &a.Ask}, reply} })
+	v := f.wait(r, func(reply func(any)) any { return propose{statemachine.Entry{Ask: &a.ChangeRequest}, reply} })
 	if res, ok := v.(statemachine.Result); ok {
 		return res.Answer
 	}
@@ -323,7 +323,7 @@
 	w := n.watch()
 	d := n.state.Book.Document
 	s := accord.Status{Cluster: n.opts.Cluster, Role: n.shown.Load().state, Head: d.Head, Bound: n.opts.Terms.Bound().String(), Rules: d.Rules,
-		Waiting: d.Waiting, Work: n.state.Work, Sites: n.state.Reached(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
+		Waiting: d.Pending, Work: n.state.Work, Sites: n.state.Reached(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
 	for site, d := range n.state.Bounds(n.opts.Terms, n.unix()) {
 		if s.Bounds == nil {
 			s.Bounds = map[string]string{}
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -60,7 +60,7 @@
 	settled bool // an entry of the own term was carried out: the record is as new as any leader's
 	roll    *lease.Roll
 	lists   map[string]list
-	reports map[string][]cordon.Report
+	reports map[string][]cordon.Evidence
 	unknown map[string][]string
 	met     map[string]evidence
 	clocks  map[string]time.Duration // by dispatcher: its wall clock's distance from this leader's
@@ -394,7 +394,7 @@
 
 // forgetHeard begins anew with what is kept of dispatchers for one term.
 func (n *node) forgetHeard() {
-	n.lists, n.reports, n.unknown = map[string]list{}, map[string][]cordon.Report{}, map[string][]string{}
+	n.lists, n.reports, n.unknown = map[string]list{}, map[string][]cordon.Evidence{}, map[string][]string{}
 	n.met, n.clocks = map[string]evidence{}, map[string]time.Duration{}
 }
 
@@ -513,7 +513,7 @@
 			n.lists[b.Name] = list{b.List, b.Listed}
 		}
 		if b.Reports != nil {
-			n.reports[b.Name] = cordon.Fold(n.reports[b.Name], b.Reports)
+			n.reports[b.Name] = cordon.AccumulateEvidence(n.reports[b.Name], b.Reports)
 		}
 		n.clocks[b.Name] = time.UnixMilli(b.Unix).Sub(n.opts.Unix())
 		if len(b.Met) > 0 {
@@ -625,10 +625,10 @@
 }
 
 // notUnderstood finds dispatchers that do not know a kind of rule which is asked for.
-func (n *node) notUnderstood(a *ruleset.Ask) *accord.Problem {
+func (n *node) notUnderstood(a *ruleset.ChangeRequest) *accord.Problem {
 	for name, m := range n.state.Members {
 		for _, c := range a.Changes {
-			known := slices.Contains(ruleset.Kinds, string(c.Kind)) // else it is refused for that
+			known := slices.Contains(ruleset.SupportedKinds, string(c.Kind)) // else it is refused for that
 			if m.Life != 0 && known && !a.Forced && !slices.Contains(m.Knows, string(c.Kind)) {
 				return accord.NewProblem(accord.CodeWrong, fmt.Sprintf("dispatcher %s does not understand rules of kind %.40q: it would lose its lease", name, string(c.Kind)))
 			}
@@ -645,7 +645,7 @@
 			lists[name] = l.servers
 		}
 	}
-	return cordon.Pool(lists)
+	return cordon.MergeLists(lists)
 }
 
 // present tells whether a dispatcher was heard not long ago: what one told that is gone by now is no evidence.
@@ -657,7 +657,7 @@
 // watch is what this leader knows beside the record.
 func (n *node) watch() statemachine.Watch {
 	now := n.opts.Clock.Now()
-	reports := map[string][]cordon.Report{}
+	reports := map[string][]cordon.Evidence{}
 	for name, r := range n.reports {
 		if n.present(name) {
 			reports[name] = r
@@ -670,7 +670,7 @@
 		}
 	}
 	return statemachine.Watch{Roll: n.roll, Now: now, Listed: n.listed, Reports: reports, Auto: n.opts.Auto, Passed: now - n.counted,
-		Met: contact.Pool(met), Unix: n.unix(), Planned: n.opts.Planned}
+		Met: contact.MergeEvidence(met), Unix: n.unix(), Planned: n.opts.Planned}
 }
 
 // unix is the wall clock that the record goes by, in ms.
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -41,7 +41,7 @@
 	Dir        string            // of its disk
 	Terms      lease.Terms
 	Budget     cordon.Budget
-	Auto       cordon.Auto
+	Auto       cordon.AutoPolicy
 	Cold       time.Duration // a server whose cordon was lifted is cold for so long
 	Planned    schedule.Settings
 	Clock      accord.Clock
