--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -80,16 +80,16 @@
 		return registrar.Options{}, err
 	}
 	a := f.Accord
-	if !a.On() {
+	if !a.Enabled() {
 		return registrar.Options{}, fmt.Errorf("%s: accord.cluster: expected a name", o.settings)
 	}
 	if _, ok := a.Registrars[o.name]; !ok {
 		return registrar.Options{}, fmt.Errorf("%s: accord.registrars: expected one named %q", o.settings, o.name)
 	}
-	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.Terms(),
-		Budget: cordon.Budget{Share: a.Budget}, Cold: a.Cold, Planned: a.Planned(),
+	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.LeaseTerms(),
+		Budget: cordon.Budget{Share: a.Budget}, Cold: a.ColdTime, Planned: a.ScheduleSettings(),
 		Unix: func() time.Time { return time.Now().Add(a.ClockStep) }, Clock: accord.Clock{Rate: a.ClockRate},
-		Auto: cordon.Auto{Agreeing: a.Auto.Agreeing, Most: a.Auto.Most, Share: a.Auto.Share, Least: a.Auto.Least}}, nil
+		Auto: cordon.Auto{Agreeing: a.Auto.MinAgreeing, Most: a.Auto.MaxCordons, Share: a.Auto.ErrorShare, Least: a.Auto.MinAnswers}}, nil
 }
 
 func initCommand() *cobra.Command {
--- a/cmd/merlinarch-rehearse/main.go
+++ b/cmd/merlinarch-rehearse/main.go
@@ -324,7 +324,7 @@
 func settingsCommand() *cobra.Command {
 	return &cobra.Command{Use: "settings FILE", Short: "Print a template of settings as plain JSON", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			text, err := jsonnet.Text(args[0])
+			text, err := jsonnet.Evaluate(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -28,10 +28,10 @@
 
 // printAccord tells what the settings promise.
 func printAccord(w io.Writer, a features.Accord) {
-	t := a.Terms()
+	t := a.LeaseTerms()
 	fmt.Fprintf(w, "accord: cluster %s, %d registrars, without a lease: %s\n"+
 		"accord: D = lease / (1 - drift) + send = %v / (1 - %g) + %v = %v; a lease that nobody renews is over for certain after %v\n",
-		a.Cluster, len(a.Registrars), a.Mode, t.Length, t.Drift, t.Send, t.Bound().Round(time.Millisecond), t.Wait(t.Longest).Round(time.Millisecond))
+		a.Cluster, len(a.Registrars), a.WithoutLease, t.Length, t.Drift, t.Send, t.Bound().Round(time.Millisecond), t.Wait(t.Longest).Round(time.Millisecond))
 }
 
 // operator is what the commands that speak with the registrars have in common.
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, nil, nil, "", err
 	}
-	if !f.Accord.On() {
+	if !f.Accord.Enabled() {
 		return nil, nil, nil, "", fmt.Errorf("%s: accord.cluster: expected a name", o.settings)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/merlinarch/main.go
+++ b/cmd/merlinarch/main.go
@@ -113,7 +113,7 @@
 			if err != nil {
 				return err
 			}
-			if s.Accord.On() {
+			if s.Accord.Enabled() {
 				printAccord(cmd.OutOrStdout(), s.Accord)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "configuration is good: %s listens on %s, %d classes, %d peers, room for %d requests, "+
@@ -183,7 +183,7 @@
 		return nil, &template.Error{File: path, Text: errors.Unwrap(err).Error()}
 	}
 	if json.Valid(data) {
-		return template.Object(path, string(data))
+		return template.ParseObject(path, string(data))
 	}
 	tools, err := beside(toolsProgram)
 	if err != nil {
@@ -198,7 +198,7 @@
 		}
 		return nil, errors.New(strings.TrimSpace(strings.TrimPrefix(wrong.String(), "merlinarch rehearse: ")))
 	}
-	return template.Object(path, out.String())
+	return template.ParseObject(path, out.String())
 }
 
 func versionCommand() *cobra.Command {
--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -71,7 +71,7 @@
 		}
 		defer func() { err = errors.Join(err, book.Close()) }() // last: all that was taken is answered by then
 	}
-	parts := gateway.Parts{Platform: nobody{count}, Peers: nobody{count}}
+	parts := gateway.Outputs{Platform: nobody{count}, Peers: nobody{count}}
 	var others *peers.Peers
 	if c.PeerListen != "" {
 		if others, err = peers.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Limits, count, log); err != nil {
@@ -86,7 +86,7 @@
 	parts.Servers = pool
 	var work sync.WaitGroup
 	var rules *accord.Follower
-	if f.Accord.On() {
+	if f.Accord.Enabled() {
 		rules = accord.NewFollower(followerOptions(f.Accord, c), gw, gw.UseRules(c.Settings.ColdTime), count, log)
 		rules.Printer = printer{gw, c.Limits.MaxWait}
 		pool.Gate = rules.Gate
@@ -96,8 +96,8 @@
 		work.Go(func() { others.Run(ctx, gw) })
 	}
 	watcher := discovery.New(c.Discovery, backoff.OfDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, count, log)
-	if c.Known != nil { // the module's first event is the list, the next the platform's news
-		if err := watcher.Known(c.Known); err != nil {
+	if c.InitialHosts != nil { // the module's first event is the list, the next the platform's news
+		if err := watcher.Known(c.InitialHosts); err != nil {
 			log.Warn("starting without a list", zap.Error(err))
 		}
 	}
@@ -105,8 +105,8 @@
 	if c.Platform != "" {
 		desk = platform.New(c.Platform, backoff.OfPlatform(c.Seed), c.Limits, gw, count, log)
 		parts.Platform = desk
-		if news, err := platform.DecodeNews(c.News); err == nil {
-			gw.Released(news)
+		if news, err := platform.DecodeNews(c.InitialRelease); err == nil {
+			gw.UpdateRelease(news)
 		} else {
 			log.Warn("starting without news of the newest build", zap.Error(err))
 		}
@@ -170,8 +170,8 @@
 	}
 	ex := exchange.New(exchange.Message{Method: http.MethodPost, Target: t.Work.Target + joint + "fence=" + strconv.FormatUint(t.Fence, 10),
 		ID: fmt.Sprintf("%s-%d", t.Dispatch, t.Fence), DedupKey: "dispatch-" + t.Dispatch, Body: []byte(t.Work.Body)},
-		exchange.Fields{Class: t.Work.Class, Zone: t.Work.Site}, until)
-	ex.Planned = t.Dispatch
+		exchange.Fields{Class: t.Work.Class, RequiredZone: t.Work.Site}, until)
+	ex.DispatchID = t.Dispatch
 	if p.gateway.Submit(ex) != nil {
 		return false
 	}
@@ -183,7 +183,7 @@
 	case <-ctx.Done():
 	}
 	if ex.Finish(exchange.Answer{Status: exchange.TimedOut}) {
-		p.gateway.Left(ex)
+		p.gateway.Abandon(ex)
 	}
 	a := ex.Answer()
 	defer a.Release()
@@ -192,8 +192,8 @@
 
 // followerOptions are the accord's, for this router.
 func followerOptions(a features.Accord, c config.Config) accord.Options {
-	return accord.Options{Cluster: a.Cluster, Name: c.Name, Site: c.Settings.Zone, Registrars: a.Registrars, Mode: lease.Mode(a.Mode),
-		Terms: a.Terms(), Step: a.ClockStep, Clock: accord.Clock{Rate: a.ClockRate}, Seed: c.Seed, Reporting: a.Auto.Agreeing > 0}
+	return accord.Options{Cluster: a.Cluster, Name: c.Name, Site: c.Settings.Zone, Registrars: a.Registrars, Mode: lease.Mode(a.WithoutLease),
+		Terms: a.LeaseTerms(), Step: a.ClockStep, Clock: accord.Clock{Rate: a.ClockRate}, Seed: c.Seed, Reporting: a.Auto.MinAgreeing > 0}
 }
 
 // move goes over to the addresses that the configuration file names now. A file that can't be used changes nothing.
--- a/internal/accord/follower.go
+++ b/internal/accord/follower.go
@@ -44,17 +44,17 @@
 // Sink is where the decisions hear of the rules.
 type Sink interface {
 	// Ruled returns once the decisions know of a version, or of another conduct; an error tells that they have ended.
-	Ruled(ctx context.Context, v *ruleset.View, c lease.Conduct) error
+	UpdateRules(ctx context.Context, v *ruleset.View, c lease.Conduct) error
 }
 
 // Fleet is what the dispatcher knows of the servers, for the registrars to judge by.
 type Fleet interface {
 	// Listed is the list with a sum over it that changes when it does.
-	Listed() (servers []cordon.Server, sum string)
+	Servers() (servers []cordon.Server, sum string)
 	// Reports is what servers have answered of late.
-	Reports() []cordon.Report
+	TakeReports() []cordon.Report
 	// Met is what came of attempts at each site of late.
-	Met() []contact.Evidence
+	TakeSiteEvidence() []contact.Evidence
 }
 
 // Printer carries out planned work, through the same decisions as any request. It tells whether the receiver has it for
@@ -188,7 +188,7 @@
 	f.count.Inc([...]string{"accord.lease_begun", "accord.serving_stale", "accord.holding"}[c])
 	f.log.Info("conduct", zap.String("now", [...]string{"full", "stale", "nothing"}[c]), zap.Uint64("version", f.Gate.Holds()))
 	if f.view != nil {
-		f.sink.Ruled(ctx, f.view, c)
+		f.sink.UpdateRules(ctx, f.view, c)
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 	v := ruleset.NewView(d)
 	c := f.Gate.Conduct()
-	if err := f.sink.Ruled(ctx, v, c); err != nil {
+	if err := f.sink.UpdateRules(ctx, v, c); err != nil {
 		return err
 	}
 	f.conduct = c
@@ -240,13 +240,13 @@
 		f.life = e.Life
 	}
 	b := Beat{Cluster: f.opts.Cluster, Name: f.opts.Name, Life: f.life, Holds: f.Gate.Holds(), Unknown: f.unknown}
-	servers, sum := f.fleet.Listed()
+	servers, sum := f.fleet.Servers()
 	if b.List = sum; f.wantList {
 		b.Listed = servers
 	}
-	b.Unix, b.Met = f.opts.unix().UnixMilli(), f.fleet.Met()
+	b.Unix, b.Met = f.opts.unix().UnixMilli(), f.fleet.TakeSiteEvidence()
 	if f.opts.Reporting {
-		b.Reports = f.fleet.Reports()
+		b.Reports = f.fleet.TakeReports()
 	}
 	for _, fence := range slices.Sorted(maps.Keys(f.tasks)) {
 		if e := f.tasks[fence]; e != nil {
--- a/internal/clients/conns.go
+++ b/internal/clients/conns.go
@@ -83,7 +83,7 @@
 			return n, err
 		}
 		// Danger: with no time-out left, what comes now could stall for ever.
-		if err := c.Conn.SetReadDeadline(time.Now().Add(c.all.limits.ReadWhole)); err != nil {
+		if err := c.Conn.SetReadDeadline(time.Now().Add(c.all.limits.RequestReadTimeout)); err != nil {
 			return n, err
 		}
 	}
@@ -93,7 +93,7 @@
 // behind a request, to see the connection end, and no more until the answer is out; where that byte was there (of a
 // next request, or a line break too many), it never sees the end, and the request would be sent on for nobody.
 func (c *conn) watch() {
-	left, every := c.left, max(c.all.limits.LeftEvery, time.Millisecond)
+	left, every := c.left, max(c.all.limits.HangupPollInterval, time.Millisecond)
 	var look func()
 	look = func() {
 		c.all.mu.Lock()
@@ -175,7 +175,7 @@
 // for ever; what stalls for some times the longest wait is cut off, and never sooner. Set anew only as needed,
 // since it costs as much as a read.
 func (c *conn) allowWrites() {
-	stall := c.all.limits.WriteStall
+	stall := c.all.limits.WriteStallTimeout
 	if now := time.Now(); c.writeBy.Before(now.Add(stall / 2)) {
 		c.writeBy = now.Add(stall)
 		if c.Conn.SetWriteDeadline(c.writeBy) != nil {
@@ -254,10 +254,10 @@
 func (a *conns) evict() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.present-a.ending <= a.limits.ClientConns-a.limits.WantedSpare {
+	if a.present-a.ending <= a.limits.ClientConns-a.limits.SpareClientConns {
 		return false
 	}
-	return a.endOldest(a.fresh, a.limits.FreshLeast) || a.endOldest(a.idle, a.limits.IdleLeast)
+	return a.endOldest(a.fresh, a.limits.EvictSilentAfter) || a.endOldest(a.idle, a.limits.EvictIdleAfter)
 }
 
 // endOldest ends the oldest connection of a list that has been there for so long; the lock is held.
@@ -287,9 +287,9 @@
 func (a *conns) endSilent() (left int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for a.endOldest(a.idle, a.limits.IdleLeast) {
+	for a.endOldest(a.idle, a.limits.EvictIdleAfter) {
 	}
-	for a.endOldest(a.fresh, a.limits.FreshLeast) {
+	for a.endOldest(a.fresh, a.limits.EvictSilentAfter) {
 	}
 	return a.present
 }
@@ -305,7 +305,7 @@
 		a.owed--
 		return true
 	}
-	return a.present > a.limits.ClientConns-a.limits.WantedSpare && a.idle.Len() == 0
+	return a.present > a.limits.ClientConns-a.limits.SpareClientConns && a.idle.Len() == 0
 }
 
 // full tells that there is no descriptor for another.
@@ -330,7 +330,7 @@
 func (l *listener) finish(d time.Duration) {
 	until := time.Now().Add(d)
 	l.until.Store(&until)
-	l.wakeBy(time.Now().Add(l.conns.limits.BacklogEmpty))
+	l.wakeBy(time.Now().Add(l.conns.limits.BacklogQuietTime))
 }
 
 // wakeBy has Accept return by a time.
@@ -353,13 +353,13 @@
 	for l.conns.full() && !l.over() {
 		l.conns.count.Inc("clients.accept_waits")
 		l.conns.evict()
-		l.conns.owe(l.conns.limits.OwedAtOnce)
+		l.conns.owe(l.conns.limits.ClosesPerAcceptWait)
 		l.conns.pause()
 	}
 	l.conns.owe(0)
 	for !l.over() {
 		if l.until.Load() != nil {
-			l.wakeBy(time.Now().Add(l.conns.limits.BacklogEmpty))
+			l.wakeBy(time.Now().Add(l.conns.limits.BacklogQuietTime))
 		}
 		nc, err := l.Listener.Accept()
 		switch {
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -108,8 +108,8 @@
 	if m.DedupKey, wrong = p.repeatable(r, class); wrong != nil {
 		return m, f, 0, wrong
 	}
-	f = exchange.Fields{Class: class.Name, Retry: optional(r.Header, headerRetry) == "1",
-		Hint: p.hint(optional(r.Header, headerHint))}
+	f = exchange.Fields{Class: class.Name, IsRetry: optional(r.Header, headerRetry) == "1",
+		ExpectedWork: p.hint(optional(r.Header, headerHint))}
 	if len(p.tenants) > 0 {
 		if f.Tenant, wrong = once(r.Header, headerTenant, p.limits.MaxIDLength); wrong != nil {
 			return m, f, 0, wrong
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,8 +30,8 @@
 	PeerListen, PeersAll    string
 	Peers                   []string // by their numbers in the settings, this router's own included
 	Platform                string   // empty: none
-	News                    *fastjson.Value
-	Known                   *fastjson.Value // the list as last held, in discovery's form; nil: none
+	InitialRelease          *fastjson.Value
+	InitialHosts            *fastjson.Value // the list as last held, in discovery's form; nil: none
 	Settings                logic.Settings
 	Limits                  Limits
 
@@ -113,7 +113,7 @@
 	c := Config{Name: text(envName, "name"), Listen: text(envListen, "listen"),
 		Discovery: text(envDiscovery, "discovery"), PeerListen: text("", "peer_listen"),
 		PeersAll: text("", "peers_all"), Platform: text("", "pipeline", "address"),
-		News: v.Get("pipeline", "news"), Known: v.Get("known"), Seed: seed(text("", "seed"))}
+		InitialRelease: v.Get("pipeline", "news"), InitialHosts: v.Get("known"), Seed: seed(text("", "seed"))}
 	c.file = addresses{text("", "discovery"), c.Platform}
 	c.others = map[string]string{}
 	for _, name := range kept {
@@ -137,9 +137,9 @@
 	if err := c.checkAddresses(); err != nil {
 		return Config{}, err
 	}
-	c.Limits, err = NewLimits(Told{Cores: v.GetFloat64("limits", "cores"),
+	c.Limits, err = NewLimits(Resources{Cores: v.GetFloat64("limits", "cores"),
 		MemoryMB: v.GetInt("limits", "memory_mb"), Sockets: v.GetInt("limits", "sockets"),
-		Dial: settings.DialTimeout(own)}, c.Settings)
+		DialTimeout: settings.DialTimeout(own)}, c.Settings)
 	if c.Settings.MaxOpen <= 0 || c.Settings.MaxOpen > c.Limits.MaxOpen { // the module decides what is let go
 		c.Settings.MaxOpen = c.Limits.MaxOpen
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -14,61 +14,61 @@
 	MemoryBytes int64 // soft limit of Go's memory
 	GCPercent   int   // growth of the heap between collections, while memory allows
 
-	MaxBody      int // bytes of a request's body; an answer's may be longer, if AnswerRoom allows
-	MaxAnswer    int // bytes of an answer's body
-	AnswerRoom   int // bytes that all answers longer than MaxBody may take together
-	MaxHead      int // bytes of a head, either way
-	MaxLine      int // bytes of a line of the platform
-	MaxList      int // bytes of a line of discovery
-	MaxDatagram  int // bytes of a message between routers
-	MaxIDLength  int // bytes of a client's id or key
-	MaxEvents    int // events that wait for the loop
-	MaxOpen      int // requests held at a time, as the module is told
-	MaxHeld      int // beyond this the node itself refuses, unseen by the module
-	ClientConns  int // connections from clients
-	ServerConns  int // connections to servers
-	OwedAtOnce   int // answers that close their connections for each moment that a new one waits
-	WantedSpare  int // connections from clients kept in hand: beyond, answers close theirs
-	MaxOutgoing  int // messages and votes that wait to be written
-	MaxPerServer int // idle connections kept to one server
+	MaxBody             int // bytes of a request's body; an answer's may be longer, if AnswerRoom allows
+	MaxAnswer           int // bytes of an answer's body
+	LongAnswerBudget    int // bytes that all answers longer than MaxBody may take together
+	MaxHead             int // bytes of a head, either way
+	MaxPlatformLine     int // bytes of a line of the platform
+	MaxDiscoveryLine    int // bytes of a line of discovery
+	MaxDatagram         int // bytes of a message between routers
+	MaxIDLength         int // bytes of a client's id or key
+	MaxEvents           int // events that wait for the loop
+	MaxOpen             int // requests held at a time, as the module is told
+	MaxHeld             int // beyond this the node itself refuses, unseen by the module
+	ClientConns         int // connections from clients
+	ServerConns         int // connections to servers
+	ClosesPerAcceptWait int // answers that close their connections for each moment that a new one waits
+	SpareClientConns    int // connections from clients kept in hand: beyond, answers close theirs
+	MaxOutgoing         int // messages and votes that wait to be written
+	MaxIdlePerServer    int // idle connections kept to one server
 
-	IdleLeast    time.Duration // a client's connection idle for less is not closed for want of room
-	RetryAfter   time.Duration // advice with the node's own refusals: the longest that clients follow
-	MaxWait      time.Duration // the longest time that a client may say it waits
-	AnswerMargin time.Duration // before a client's time is over, the decisions' time is; see Margins
-	LastMargin   time.Duration // before a client's time is over, the node answers by itself; see Margins
-	ReadWhole    time.Duration // from connecting, or a later request's first byte, until a request is whole
-	ClientIdle   time.Duration // a client's connection idle for longer is closed
-	FreshLeast   time.Duration // a connection that has brought no head for less is not closed for want of room
-	WriteStall   time.Duration // a client that reads nothing for longer is cut off; half of it at the least
-	DialTimeout  time.Duration // for a connection to a server
-	ProbeTimeout time.Duration // for a probe of a server
-	ServerIdle   time.Duration // idle connections to servers are closed after this
-	ServerSettle time.Duration // after an answer its connection is left alone for this long
-	SettleLeast  time.Duration // the same where there is no descriptor for another connection
-	AnswerWhole  time.Duration // from a server's answer's first byte to its last
-	SendGrace    time.Duration // a send decided before a drain may leave so long after it
-	PeerDial     time.Duration // for a connection to discovery or the platform
-	ListSilence  time.Duration // a watch of discovery silent for longer is broken
-	NewsSilence  time.Duration // a connection to the platform silent for longer is broken
-	VoteTimeout  time.Duration // a vote unanswered for longer may count
-	MoveGrace    time.Duration // after a new address, what waits on a connection to the old one has this long
-	DrainTaking  time.Duration // after SIGTERM: go on as before
-	DrainClosing time.Duration // then end connections between requests until this
-	DrainLast    time.Duration // then finish what was taken, at the longest
-	DrainKill    time.Duration // after SIGTERM: when the process may be ended, whatever it does
-	LeftEvery    time.Duration // pauses between looks for the end of a connection that has more bytes before it
-	Linger       time.Duration // behind a last answer, for its client to close too; zero: the connection closes at once
-	LingerBytes  int64         // bytes read meanwhile at the most
-	BacklogEmpty time.Duration // while accepting ends: the backlog is empty once it has brought nothing for so long
+	EvictIdleAfter          time.Duration // a client's connection idle for less is not closed for want of room
+	RetryAfter              time.Duration // advice with the node's own refusals: the longest that clients follow
+	MaxWait                 time.Duration // the longest time that a client may say it waits
+	DecisionMargin          time.Duration // before a client's time is over, the decisions' time is; see Margins
+	OwnAnswerMargin         time.Duration // before a client's time is over, the node answers by itself; see Margins
+	RequestReadTimeout      time.Duration // from connecting, or a later request's first byte, until a request is whole
+	ClientIdleTimeout       time.Duration // a client's connection idle for longer is closed
+	EvictSilentAfter        time.Duration // a connection that has brought no head for less is not closed for want of room
+	WriteStallTimeout       time.Duration // a client that reads nothing for longer is cut off; half of it at the least
+	DialTimeout             time.Duration // for a connection to a server
+	ProbeTimeout            time.Duration // for a probe of a server
+	ServerIdleTimeout       time.Duration // idle connections to servers are closed after this
+	ServerReuseDelay        time.Duration // after an answer its connection is left alone for this long
+	MinServerReuseDelay     time.Duration // the same where there is no descriptor for another connection
+	AnswerReadTimeout       time.Duration // from a server's answer's first byte to its last
+	SendGrace               time.Duration // a send decided before a drain may leave so long after it
+	ControlDialTimeout      time.Duration // for a connection to discovery or the platform
+	DiscoverySilenceTimeout time.Duration // a watch of discovery silent for longer is broken
+	PlatformSilenceTimeout  time.Duration // a connection to the platform silent for longer is broken
+	VoteTimeout             time.Duration // a vote unanswered for longer may count
+	AddressChangeGrace      time.Duration // after a new address, what waits on a connection to the old one has this long
+	DrainDelay              time.Duration // after SIGTERM: go on as before
+	DrainCloseUntil         time.Duration // then end connections between requests until this
+	DrainTimeout            time.Duration // then finish what was taken, at the longest
+	KillAfter               time.Duration // after SIGTERM: when the process may be ended, whatever it does
+	HangupPollInterval      time.Duration // pauses between looks for the end of a connection that has more bytes before it
+	Linger                  time.Duration // behind a last answer, for its client to close too; zero: the connection closes at once
+	LingerBytes             int64         // bytes read meanwhile at the most
+	BacklogQuietTime        time.Duration // while accepting ends: the backlog is empty once it has brought nothing for so long
 }
 
 // Told is what the deployment says this node may use.
-type Told struct {
-	Cores    float64
-	MemoryMB int
-	Sockets  int
-	Dial     time.Duration // the settings' time-out for connections to servers; zero: none
+type Resources struct {
+	Cores       float64
+	MemoryMB    int
+	Sockets     int
+	DialTimeout time.Duration // the settings' time-out for connections to servers; zero: none
 }
 
 const (
@@ -80,7 +80,7 @@
 )
 
 // NewLimits derives the limits.
-func NewLimits(told Told, s logic.Settings) (Limits, error) {
+func NewLimits(told Resources, s logic.Settings) (Limits, error) {
 	if told.Cores <= 0 || told.MemoryMB < leastMemory || told.Sockets < leastSockets {
 		return Limits{}, fmt.Errorf("limits: cores %g, memory_mb %d, sockets %d: needs more than 0, %d and %d",
 			told.Cores, told.MemoryMB, told.Sockets, leastMemory, leastSockets)
@@ -92,28 +92,28 @@
 	free := told.Sockets - reserved
 	l := Limits{
 		Cores: max(1, int(told.Cores)), MemoryBytes: int64(told.MemoryMB) * mebibyte * 7 / 10, GCPercent: 400,
-		MaxBody: 64 << 10, MaxAnswer: min(2*mebibyte, told.MemoryMB*mebibyte/16), AnswerRoom: told.MemoryMB * mebibyte / 4,
-		MaxHead: 16 << 10, MaxLine: 8 << 10, MaxList: 8 << 20, MaxDatagram: 256,
+		MaxBody: 64 << 10, MaxAnswer: min(2*mebibyte, told.MemoryMB*mebibyte/16), LongAnswerBudget: told.MemoryMB * mebibyte / 4,
+		MaxHead: 16 << 10, MaxPlatformLine: 8 << 10, MaxDiscoveryLine: 8 << 20, MaxDatagram: 256,
 		MaxIDLength: 256, MaxEvents: 4096, MaxOutgoing: 256,
 		MaxHeld:     told.MemoryMB * mebibyte * 3 / 5 / requestBytes,
 		ServerConns: free / 5, ClientConns: free - free/5,
-		RetryAfter: s.MaxRetryAfter, IdleLeast: 10 * time.Millisecond, MaxWait: 10 * max(longest, time.Second),
-		AnswerMargin: 140 * time.Millisecond, LastMargin: 110 * time.Millisecond,
-		ReadWhole: 2200 * time.Millisecond, ClientIdle: 2200 * time.Millisecond, FreshLeast: 250 * time.Millisecond,
-		WriteStall:  10 * max(longest, time.Second),
-		DialTimeout: told.Dial, ProbeTimeout: told.Dial, ServerIdle: s.ConnIdle * 9 / 10,
-		ServerSettle: 20 * time.Millisecond, SettleLeast: 2 * time.Millisecond, AnswerWhole: 400 * time.Millisecond,
-		SendGrace: s.DrainGrace * 7 / 10,
-		PeerDial:  time.Second, ListSilence: 5 * time.Second, NewsSilence: 3500 * time.Millisecond,
-		VoteTimeout: s.Rollout.VoteTimeout,
-		MoveGrace:   1500 * time.Millisecond,
-		DrainTaking: 450 * time.Millisecond, DrainClosing: 600 * time.Millisecond,
-		DrainLast: max(longest, 3*time.Second) + 50*time.Millisecond,
-		DrainKill: min(longest, 3*time.Second) + 700*time.Millisecond,
-		LeftEvery: 50 * time.Millisecond, Linger: 500 * time.Millisecond, LingerBytes: 256 << 10, BacklogEmpty: 5 * time.Millisecond,
+		RetryAfter: s.MaxRetryAfter, EvictIdleAfter: 10 * time.Millisecond, MaxWait: 10 * max(longest, time.Second),
+		DecisionMargin: 140 * time.Millisecond, OwnAnswerMargin: 110 * time.Millisecond,
+		RequestReadTimeout: 2200 * time.Millisecond, ClientIdleTimeout: 2200 * time.Millisecond, EvictSilentAfter: 250 * time.Millisecond,
+		WriteStallTimeout: 10 * max(longest, time.Second),
+		DialTimeout:       told.DialTimeout, ProbeTimeout: told.DialTimeout, ServerIdleTimeout: s.ConnIdle * 9 / 10,
+		ServerReuseDelay: 20 * time.Millisecond, MinServerReuseDelay: 2 * time.Millisecond, AnswerReadTimeout: 400 * time.Millisecond,
+		SendGrace:          s.DrainGrace * 7 / 10,
+		ControlDialTimeout: time.Second, DiscoverySilenceTimeout: 5 * time.Second, PlatformSilenceTimeout: 3500 * time.Millisecond,
+		VoteTimeout:        s.Rollout.VoteTimeout,
+		AddressChangeGrace: 1500 * time.Millisecond,
+		DrainDelay:         450 * time.Millisecond, DrainCloseUntil: 600 * time.Millisecond,
+		DrainTimeout:       max(longest, 3*time.Second) + 50*time.Millisecond,
+		KillAfter:          min(longest, 3*time.Second) + 700*time.Millisecond,
+		HangupPollInterval: 50 * time.Millisecond, Linger: 500 * time.Millisecond, LingerBytes: 256 << 10, BacklogQuietTime: 5 * time.Millisecond,
 	}
-	l.OwedAtOnce = 8
-	l.WantedSpare, l.MaxPerServer = l.ClientConns/8, max(2, l.ServerConns/4)
+	l.ClosesPerAcceptWait = 8
+	l.SpareClientConns, l.MaxIdlePerServer = l.ClientConns/8, max(2, l.ServerConns/4)
 	// Danger: held requests keep their connections; with few left for the rest, each refusal closes one and the
 	// backlog grows faster than it is taken from.
 	l.MaxHeld = max(4, min(l.MaxHeld, l.ClientConns/3))
@@ -121,8 +121,8 @@
 	if l.DialTimeout <= 0 {
 		l.DialTimeout, l.ProbeTimeout = time.Second, time.Second
 	}
-	if l.ServerIdle <= 0 {
-		l.ServerIdle = 10 * time.Second
+	if l.ServerIdleTimeout <= 0 {
+		l.ServerIdleTimeout = 10 * time.Second
 	}
 	if l.VoteTimeout <= 0 {
 		l.VoteTimeout = time.Second
@@ -133,5 +133,5 @@
 // Margins gives AnswerMargin and LastMargin for a client that waits so long: a small part of a short wait.
 // Danger: on a busy machine an answer takes its time from the loop to the client, and must not come late.
 func (l Limits) Margins(wait time.Duration) (answer, last time.Duration) {
-	return min(l.AnswerMargin, wait/5), min(l.LastMargin, wait/7)
+	return min(l.DecisionMargin, wait/5), min(l.OwnAnswerMargin, wait/7)
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -83,8 +83,8 @@
 		build < 0 || build >= highestBuild || weight < 0 {
 		return gateway.Host{}, false
 	}
-	return gateway.Host{Addr: addr, Name: string(id), Class: string(e.GetStringBytes(fieldClass)),
-		Born: int64(e.GetFloat64(fieldStarted)), Server: logic.Server{ID: ServerID(string(id)),
+	return gateway.Host{Addr: addr, Name: string(id), MachineClass: string(e.GetStringBytes(fieldClass)),
+		StartedUnixMs: int64(e.GetFloat64(fieldStarted)), Server: logic.Server{ID: ServerID(string(id)),
 			Zone: string(e.GetStringBytes(fieldZone)), Build: logic.BuildID(build), Cell: e.GetInt(fieldCell),
 			State: state, Weight: weight, Started: clock.FromUnix(e.GetFloat64(fieldStarted))}}, true
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -25,8 +25,8 @@
 
 // Sink takes the news.
 type Sink interface {
-	Listed(full bool, hosts []gateway.Host)
-	ListingFailed()
+	UpdateServers(full bool, hosts []gateway.Host)
+	DiscoveryFailed()
 }
 
 // Watcher follows discovery.
@@ -46,7 +46,7 @@
 // New makes a watcher; Run starts it.
 func New(addr string, rule backoff.Rule, limits config.Limits, clock gateway.Clock, sink Sink, count *metrics.Registry,
 	log *zap.Logger) *Watcher {
-	return &Watcher{Follower: reconnect.New("discovery", addr, rule, limits, sink.ListingFailed, count, log),
+	return &Watcher{Follower: reconnect.New("discovery", addr, rule, limits, sink.DiscoveryFailed, count, log),
 		limits: limits, clock: clock, sink: sink, count: count,
 		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}}
 }
@@ -67,7 +67,7 @@
 func (w *Watcher) take(l List) {
 	w.count.Inc("discovery.lists")
 	w.count.Add("discovery.entries_skipped", int64(l.Skipped))
-	w.sink.Listed(l.Full, l.Hosts)
+	w.sink.UpdateServers(l.Full, l.Hosts)
 }
 
 // Run follows discovery until ctx ends. The router serves on with what it has while discovery is down, and with
@@ -123,7 +123,7 @@
 	w := f.w
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	silence := time.AfterFunc(w.limits.ListSilence, stop)
+	silence := time.AfterFunc(w.limits.DiscoverySilenceTimeout, stop)
 	defer silence.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.Addr+pathList+query, nil)
 	if err != nil {
@@ -138,17 +138,17 @@
 		return fmt.Errorf("discovery: status %d", resp.StatusCode)
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, w.limits.MaxList)
+	lines.Buffer(nil, w.limits.MaxDiscoveryLine)
 	var parser fastjson.Parser
 	var object objects
 	for lines.Scan() {
-		text, err := object.line(lines.Bytes(), w.limits.MaxList)
+		text, err := object.line(lines.Bytes(), w.limits.MaxDiscoveryLine)
 		if err != nil {
 			w.count.Inc("discovery.unreadable")
 			return fmt.Errorf("discovery: %w: %w", errUnreadable, err)
 		}
 		if !object.open() { // Danger: a list that trickles and never ends is no sign of life
-			silence.Reset(w.limits.ListSilence)
+			silence.Reset(w.limits.DiscoverySilenceTimeout)
 		}
 		if len(text) == 0 { // a sign of life, or a part of a list
 			continue
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -17,26 +17,26 @@
 
 // Call is a request that the module knows of.
 type Call[T any] struct {
-	ID     logic.RequestID
-	Of     T // what the host of the driver knows it by
-	Server logic.ServerID
-	SentAt time.Duration // the latest attempt's, on the module's clock
+	ID      logic.RequestID
+	Request T // what the host of the driver knows it by
+	Server  logic.ServerID
+	SentAt  time.Duration // the latest attempt's, on the module's clock
 
-	LeaveBy time.Duration // the latest time at which the latest attempt may go out, on the module's clock; zero: any
-	Forward bool          // of a key that goes to no earlier build any more; see logic.Send
+	SendBy      time.Duration // the latest time at which the latest attempt may go out, on the module's clock; zero: any
+	ForwardOnly bool          // of a key that goes to no earlier build any more; see logic.Send
 
-	attempts  int
-	out, gone bool
+	attempts           int
+	inFlight, finished bool
 }
 
 // Attempt is the number of the latest attempt; the first is 0.
 func (c *Call[T]) Attempt() int { return c.attempts - 1 }
 
 // Out tells whether an attempt is out.
-func (c *Call[T]) Out() bool { return c.out }
+func (c *Call[T]) InFlight() bool { return c.inFlight }
 
 // Gone tells whether the client has its final answer from the module, or has left.
-func (c *Call[T]) Gone() bool { return c.gone }
+func (c *Call[T]) Finished() bool { return c.finished }
 
 // Effects carries out what the module asks. None of its methods may call the driver back before it returns.
 type Effects[T any] interface {
@@ -44,13 +44,13 @@
 	// Its end is to be told with Outcome exactly once.
 	Start(c *Call[T], timeout time.Duration)
 	// GiveUp ends the attempt that is out; Outcome still follows.
-	GiveUp(c *Call[T])
+	CancelAttempt(c *Call[T])
 	// Finish gives the client the module's final answer.
 	Finish(c *Call[T], refused bool, retryAfter time.Duration)
 	// Do carries out an action that concerns no call.
 	Do(a logic.Action)
 	// Stray is told of an action for a call that is not there or not in a state for it.
-	Stray(a logic.Action)
+	ReportStray(a logic.Action)
 }
 
 // Driver feeds one module.
@@ -67,7 +67,7 @@
 }
 
 // Open is the number of calls that have no final answer or have an attempt out.
-func (d *Driver[T]) Open() int { return len(d.calls) }
+func (d *Driver[T]) OpenCalls() int { return len(d.calls) }
 
 // Feed gives the module one event and carries out what it asks.
 func (d *Driver[T]) Feed(now time.Duration, e logic.Event) {
@@ -78,9 +78,9 @@
 
 // Arrive hands over a request under a name of the driver's own, which replaces e.ID. Danger: a client's id may
 // come twice, even while the first is out.
-func (d *Driver[T]) Arrive(now time.Duration, of T, e logic.RequestArrived) *Call[T] {
+func (d *Driver[T]) Submit(now time.Duration, of T, e logic.RequestArrived) *Call[T] {
 	d.serial++
-	c := &Call[T]{ID: logic.RequestID(strconv.FormatUint(d.serial, 36)), Of: of}
+	c := &Call[T]{ID: logic.RequestID(strconv.FormatUint(d.serial, 36)), Request: of}
 	d.calls[c.ID] = c
 	e.ID = c.ID
 	d.Feed(now, e)
@@ -89,42 +89,42 @@
 
 // Leave tells that a request has ended without the module's doing. It returns false where an attempt is still
 // out, whose end may bring an answer for a client that has only stopped sending.
-func (d *Driver[T]) Leave(now time.Duration, c *Call[T]) (over bool) {
+func (d *Driver[T]) Abandon(now time.Duration, c *Call[T]) (over bool) {
 	if d.calls[c.ID] != c {
 		return true
 	}
-	c.gone = true
+	c.finished = true
 	d.Feed(now, logic.ClientGone{ID: c.ID})
-	if !c.out {
+	if !c.inFlight {
 		delete(d.calls, c.ID)
 	}
-	return !c.out
+	return !c.inFlight
 }
 
 // Returned finds the call whose attempt has ended, and notes that; nil for one that is not out. Danger: an
 // outcome told twice, or late, must not pass for the next attempt's. Settled must follow.
-func (d *Driver[T]) Returned(id logic.RequestID, attempt int) *Call[T] {
+func (d *Driver[T]) EndAttempt(id logic.RequestID, attempt int) *Call[T] {
 	c := d.calls[id]
-	if c == nil || !c.out || attempt != c.attempts-1 {
+	if c == nil || !c.inFlight || attempt != c.attempts-1 {
 		return nil
 	}
-	c.out = false
+	c.inFlight = false
 	return c
 }
 
 // End is how an attempt ended.
-type End struct {
-	Outcome logic.Outcome
-	At      time.Duration // when that was seen, on the module's clock
-	Begun   bool          // a good answer had begun to come, though it is of no use
-	Load    *logic.Load
+type AttemptResult struct {
+	Outcome     logic.Outcome
+	EndedAt     time.Duration // when that was seen, on the module's clock
+	AnswerBegun bool          // a good answer had begun to come, though it is of no use
+	Load        *logic.Load
 }
 
 // Settled gives the module the end of an attempt; over tells that the request has ended with it. The client has
 // its answer by then: it does not wait for what the module does next.
-func (d *Driver[T]) Settled(now time.Duration, c *Call[T], e End, over bool) {
-	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Took: e.At - c.SentAt, Server: c.Server,
-		Attempt: c.attempts - 1, Final: over, Begun: e.Begun, Load: e.Load})
+func (d *Driver[T]) ReportOutcome(now time.Duration, c *Call[T], e AttemptResult, over bool) {
+	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Took: e.EndedAt - c.SentAt, Server: c.Server,
+		Attempt: c.attempts - 1, Final: over, Begun: e.AnswerBegun, Load: e.Load})
 	if over {
 		delete(d.calls, c.ID)
 	}
@@ -134,19 +134,19 @@
 	switch a := a.(type) {
 	case logic.Send:
 		c := d.calls[a.ID]
-		if c == nil || c.out {
-			d.effects.Stray(a)
+		if c == nil || c.inFlight {
+			d.effects.ReportStray(a)
 			return
 		}
-		c.attempts, c.SentAt, c.LeaveBy, c.Forward, c.Server, c.out = c.attempts+1, now, a.LeaveBy, a.Forward, a.Server, true
+		c.attempts, c.SentAt, c.SendBy, c.ForwardOnly, c.Server, c.inFlight = c.attempts+1, now, a.LeaveBy, a.Forward, a.Server, true
 		d.effects.Start(c, a.Timeout)
 	case logic.Cancel:
 		c := d.calls[a.ID]
-		if c == nil || !c.out || a.Attempt != c.attempts-1 {
-			d.effects.Stray(a)
+		if c == nil || !c.inFlight || a.Attempt != c.attempts-1 {
+			d.effects.ReportStray(a)
 			return
 		}
-		d.effects.GiveUp(c)
+		d.effects.CancelAttempt(c)
 	case logic.Refuse:
 		d.finish(a.ID, a, true, a.RetryAfter)
 	case logic.Fail:
@@ -159,11 +159,11 @@
 func (d *Driver[T]) finish(id logic.RequestID, a logic.Action, refused bool, retryAfter time.Duration) {
 	c := d.calls[id]
 	if c == nil {
-		d.effects.Stray(a)
+		d.effects.ReportStray(a)
 		return
 	}
 	d.effects.Finish(c, refused, retryAfter)
-	if c.gone = true; !c.out {
+	if c.finished = true; !c.inFlight {
 		delete(d.calls, id)
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -20,13 +20,13 @@
 
 // Fields is what decisions need to know of a request.
 type Fields struct {
-	Class  string
-	Tenant string
-	Key    uint64
-	HasKey bool
-	Hint   time.Duration // expected work; zero where unknown
-	Retry  bool          // marked by the client as a repeat
-	Zone   string        // that alone has what it asks for; empty: any
+	Class        string
+	Tenant       string
+	Key          uint64
+	HasKey       bool
+	ExpectedWork time.Duration // expected work; zero where unknown
+	IsRetry      bool          // marked by the client as a repeat
+	RequiredZone string        // that alone has what it asks for; empty: any
 }
 
 // Status tells how a request ended.
@@ -44,19 +44,19 @@
 type Answer struct {
 	Status     Status
 	Body       []byte        // of a server's answer, unchanged
-	Free       func()        // to be called once the body is of no more use; nil: nothing to do
+	FreeBody   func()        // to be called once the body is of no more use; nil: nothing to do
 	RetryAfter time.Duration // of a refusal; zero: no advice
 	Attempts   int           // at servers, that were made for it
 }
 
 // Exchange is one request on its way through the router.
 type Exchange struct {
-	Message  Message
-	Fields   Fields
-	Deadline time.Time // when the decisions' time is over
-	Planned  string    // the name of the planned work that it is, under the agreed rules; empty: a client's request
+	Message    Message
+	Fields     Fields
+	Deadline   time.Time // when the decisions' time is over
+	DispatchID string    // the name of the planned work that it is, under the agreed rules; empty: a client's request
 
-	left atomic.Bool
+	abandoned atomic.Bool
 
 	mu     sync.Mutex
 	ended  bool
@@ -83,15 +83,15 @@
 }
 
 // Leave notes that nobody waits for the answer any more.
-func (e *Exchange) Leave() { e.left.Store(true) }
+func (e *Exchange) Abandon() { e.abandoned.Store(true) }
 
 // Left tells that nobody waits for the answer any more.
-func (e *Exchange) Left() bool { return e.left.Load() }
+func (e *Exchange) Abandoned() bool { return e.abandoned.Load() }
 
 // Release gives back what an answer holds.
 func (a Answer) Release() {
-	if a.Free != nil {
-		a.Free()
+	if a.FreeBody != nil {
+		a.FreeBody()
 	}
 }
 
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -22,49 +22,49 @@
 
 // Accord is the cluster of registrars that keeps the agreed rules; the same for them, the dispatchers and the commands.
 type Accord struct {
-	Cluster    string            `json:"cluster"`    // empty: off
-	Registrars map[string]string `json:"registrars"` // addresses by name
-	Listen     string            `json:"listen"`     // of a registrar; empty: its address above
-	Mode       string            `json:"without_lease"`
-	Lease      time.Duration     `json:"lease"`
-	Longest    time.Duration     `json:"longest_lease"` // empty: the lease
-	Beat       time.Duration     `json:"beat"`
-	Send       time.Duration     `json:"send"`
-	Drift      float64           `json:"drift"`
-	Budget     float64           `json:"budget"` // of a site's and build's capacity that may be cordoned, draining, lost or cold together
-	Cold       time.Duration     `json:"cold"`   // a server whose cordon was lifted is cold for so long
-	Auto       Auto              `json:"auto"`
-	Room       int               `json:"dispatch_room"` // tries of planned work that may be out at one warm site together
-	ClockStep  time.Duration     `json:"clock_step"`    // by which the wall clock is off; for tests
-	ClockRate  float64           `json:"clock_rate"`    // of the clock that leases are counted on; for tests
+	Cluster       string            `json:"cluster"`    // empty: off
+	Registrars    map[string]string `json:"registrars"` // addresses by name
+	Listen        string            `json:"listen"`     // of a registrar; empty: its address above
+	WithoutLease  string            `json:"without_lease"`
+	Lease         time.Duration     `json:"lease"`
+	LongestLease  time.Duration     `json:"longest_lease"` // empty: the lease
+	Beat          time.Duration     `json:"beat"`
+	Send          time.Duration     `json:"send"`
+	Drift         float64           `json:"drift"`
+	Budget        float64           `json:"budget"` // of a site's and build's capacity that may be cordoned, draining, lost or cold together
+	ColdTime      time.Duration     `json:"cold"`   // a server whose cordon was lifted is cold for so long
+	Auto          AutoCordon        `json:"auto"`
+	DispatchLimit int               `json:"dispatch_room"` // tries of planned work that may be out at one warm site together
+	ClockStep     time.Duration     `json:"clock_step"`    // by which the wall clock is off; for tests
+	ClockRate     float64           `json:"clock_rate"`    // of the clock that leases are counted on; for tests
 }
 
 // Auto cordons servers by the dispatchers' own evidence.
-type Auto struct {
-	Agreeing int     `json:"agreeing"` // dispatchers that have to see the same; 0: off
-	Most     int     `json:"most"`     // such cordons that may stand together
-	Share    float64 `json:"share"`    // of a server's answers that are errors
-	Least    int     `json:"least"`    // answers that a dispatcher needs
+type AutoCordon struct {
+	MinAgreeing int     `json:"agreeing"` // dispatchers that have to see the same; 0: off
+	MaxCordons  int     `json:"most"`     // such cordons that may stand together
+	ErrorShare  float64 `json:"share"`    // of a server's answers that are errors
+	MinAnswers  int     `json:"least"`    // answers that a dispatcher needs
 }
 
 // On tells whether there is an accord.
-func (a Accord) On() bool { return a.Cluster != "" }
+func (a Accord) Enabled() bool { return a.Cluster != "" }
 
 // Terms are those of the leases.
-func (a Accord) Terms() lease.Terms {
-	return lease.Terms{Length: a.Lease, Longest: max(a.Lease, a.Longest), Beat: a.Beat, Send: a.Send, Drift: a.Drift}
+func (a Accord) LeaseTerms() lease.Terms {
+	return lease.Terms{Length: a.Lease, Longest: max(a.Lease, a.LongestLease), Beat: a.Beat, Send: a.Send, Drift: a.Drift}
 }
 
 // Planned are the settings of planned work.
-func (a Accord) Planned() schedule.Settings {
+func (a Accord) ScheduleSettings() schedule.Settings {
 	s := schedule.DefaultSettings()
-	s.Room, s.Cold = a.Room, a.Cold
+	s.Room, s.Cold = a.DispatchLimit, a.ColdTime
 	return s
 }
 
 // check finds what is wrong; the path is of the field.
 func (a Accord) check() (path, text string) {
-	if !a.On() {
+	if !a.Enabled() {
 		if len(a.Registrars) > 0 {
 			return "cluster", "expected a name"
 		}
@@ -78,20 +78,20 @@
 			return "registrars", fmt.Sprintf("expected an IP address and a port, got %q", addr)
 		}
 	}
-	if m := lease.Mode(a.Mode); m != lease.Hold && m != lease.Serve {
-		return "without_lease", "expected hold or serve, got " + a.Mode
+	if m := lease.Mode(a.WithoutLease); m != lease.Hold && m != lease.Serve {
+		return "without_lease", "expected hold or serve, got " + a.WithoutLease
 	}
-	if err := a.Terms().Check(); err != nil {
+	if err := a.LeaseTerms().Check(); err != nil {
 		return "", err.Error()
 	}
 	switch {
 	case a.Budget < 0 || a.Budget > 1:
 		return "budget", fmt.Sprintf("expected 0 to 1, got %g", a.Budget)
-	case a.Cold < 0:
+	case a.ColdTime < 0:
 		return "cold", "expected a time from 0s"
-	case a.Auto.Agreeing < 0 || a.Auto.Most < 0 || a.Auto.Least < 0 || a.Auto.Share < 0 || a.Auto.Share > 1:
+	case a.Auto.MinAgreeing < 0 || a.Auto.MaxCordons < 0 || a.Auto.MinAnswers < 0 || a.Auto.ErrorShare < 0 || a.Auto.ErrorShare > 1:
 		return "auto", "expected numbers from 0, and a share up to 1"
-	case a.Room < 1:
+	case a.DispatchLimit < 1:
 		return "dispatch_room", "expected at least 1"
 	case a.ClockRate < 0:
 		return "clock_rate", "expected more than 0"
@@ -111,8 +111,8 @@
 func Default() Features {
 	t := lease.DefaultTerms()
 	return Features{Ledger: Ledger{Period: time.Hour, Grace: time.Minute, OnFailure: "refuse"},
-		Accord: Accord{Mode: string(lease.Hold), Lease: t.Length, Beat: t.Beat, Send: t.Send, Drift: t.Drift,
-			Budget: cordon.DefaultBudget().Share, Cold: time.Minute, Room: schedule.DefaultSettings().Room, Auto: Auto{Share: 0.5, Least: 20, Most: 1}}}
+		Accord: Accord{WithoutLease: string(lease.Hold), Lease: t.Length, Beat: t.Beat, Send: t.Send, Drift: t.Drift,
+			Budget: cordon.DefaultBudget().Share, ColdTime: time.Minute, DispatchLimit: schedule.DefaultSettings().Room, Auto: AutoCordon{ErrorShare: 0.5, MinAnswers: 20, MaxCordons: 1}}}
 }
 
 // Load reads a file, which read makes an object of; without a path everything is off. A wrong file is a
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -50,7 +50,7 @@
 	e := f.sites[h.Zone]
 	e.Site = h.Zone
 	switch {
-	case o == logic.OK || o == logic.ServerError || o == logic.Rejected || result.Refused:
+	case o == logic.OK || o == logic.ServerError || o == logic.Rejected || result.ConnRefused:
 		e.Answered++
 	case o == logic.TimedOut || o == logic.ConnectFailed:
 		e.Silent++
@@ -69,12 +69,12 @@
 }
 
 // Listed is the list, with a sum over it.
-func (f *Fleet) Listed() (servers []cordon.Server, sum string) {
+func (f *Fleet) Servers() (servers []cordon.Server, sum string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	for _, h := range f.hosts {
-		servers = append(servers, cordon.Server{Host: h.Name, Born: h.Born, Site: h.Zone, Class: h.Class, Build: int(h.Build),
+		servers = append(servers, cordon.Server{Host: h.Name, Born: h.StartedUnixMs, Site: h.Zone, Class: h.MachineClass, Build: int(h.Build),
 			Weight: h.Weight, Out: h.State != logic.Ready || h.Started > 0 && now < h.Started+f.coldTime})
 	}
 	slices.SortFunc(servers, func(a, b cordon.Server) int { return cmp.Compare(a.Host, b.Host) })
@@ -84,7 +84,7 @@
 }
 
 // Met is what came of attempts at each site since it was last asked for.
-func (f *Fleet) Met() []contact.Evidence {
+func (f *Fleet) TakeSiteEvidence() []contact.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []contact.Evidence{}
@@ -97,7 +97,7 @@
 }
 
 // Reports is what servers have answered since it was last asked for.
-func (f *Fleet) Reports() []cordon.Report {
+func (f *Fleet) TakeReports() []cordon.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []cordon.Report{}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,45 +20,45 @@
 // Host is a server as discovery lists it, and where it listens.
 type Host struct {
 	logic.Server
-	Addr  string
-	Name  string // as the list has it
-	Class string // of machine
-	Born  int64  // when this life started, in Unix time and milliseconds; 0: long ago
+	Addr          string
+	Name          string // as the list has it
+	MachineClass  string // of machine
+	StartedUnixMs int64  // when this life started, in Unix time and milliseconds; 0: long ago
 }
 
 // Attempt is one try of a request at a server.
 type Attempt struct {
-	Exchange *exchange.Exchange
-	Server   logic.ServerID
-	Decided  time.Time // when the module asked for it
-	Deadline time.Time // when the wait for its outcome ends
-	LeaveBy  time.Time // the latest time at which its first byte may go out; zero: any
-	Forward  bool      // of a key that goes to no earlier build any more; see logic.Send
+	Exchange    *exchange.Exchange
+	Server      logic.ServerID
+	DecidedAt   time.Time // when the module asked for it
+	Deadline    time.Time // when the wait for its outcome ends
+	SendBy      time.Time // the latest time at which its first byte may go out; zero: any
+	ForwardOnly bool      // of a key that goes to no earlier build any more; see logic.Send
 	// Report is called exactly once, with how it ended, never from Start itself.
 	Report func(Result)
 }
 
 // Result tells how an attempt or a probe ended, and what came back.
 type Result struct {
-	Outcome logic.Outcome
-	Refused bool // ConnectFailed, by a machine that is there
-	Held    bool // NotSent, since nothing may be sent now: no lease on the agreed rules stands
-	Begun   bool // not OK, but a good answer had begun to come
-	Body    []byte
-	Free    func() // gives back the room that the body takes; nil: nothing to do
-	Load    *logic.Load
-	Ended   time.Time // when that was seen
+	Outcome     logic.Outcome
+	ConnRefused bool // ConnectFailed, by a machine that is there
+	NoLease     bool // NotSent, since nothing may be sent now: no lease on the agreed rules stands
+	AnswerBegun bool // not OK, but a good answer had begun to come
+	Body        []byte
+	FreeBody    func() // gives back the room that the body takes; nil: nothing to do
+	Load        *logic.Load
+	EndedAt     time.Time // when that was seen
 }
 
 // Servers is the server side. None of its methods may block.
 type Servers interface {
-	Listed(full bool, hosts []Host)
+	UpdateServers(full bool, hosts []Host)
 	// Start begins an attempt; the function it returns gives the attempt up.
 	Start(Attempt) (cancel func())
 	Probe(server logic.ServerID, report func(Result))
 	CloseIdle(server logic.ServerID)
 	// Recall voids sends to servers of a build that were decided before now and have not left.
-	Recall(build logic.BuildID)
+	CancelUnsent(build logic.BuildID)
 }
 
 // Platform takes votes; Vote must not block.
@@ -68,7 +68,7 @@
 type Peers interface{ Post(logic.Post) }
 
 // Parts is what the gateway hands actions to.
-type Parts struct {
+type Outputs struct {
 	Servers  Servers
 	Platform Platform
 	Peers    Peers
@@ -138,7 +138,7 @@
 // Gateway is the loop round the module.
 type Gateway struct {
 	limits config.Limits
-	parts  Parts
+	parts  Outputs
 	clock  Clock
 	count  *metrics.Registry
 	log    *zap.Logger
@@ -186,8 +186,8 @@
 func (g *Gateway) Submit(ex *exchange.Exchange) error { return g.post(arrived{ex}) }
 
 // Left tells that a request's client has gone, or that the node has answered it by itself.
-func (g *Gateway) Left(ex *exchange.Exchange) {
-	ex.Leave() // an attempt that is being made sees it at once, whether or not the settings let it be given up
+func (g *Gateway) Abandon(ex *exchange.Exchange) {
+	ex.Abandon() // an attempt that is being made sees it at once, whether or not the settings let it be given up
 	g.notify(left{ex})
 }
 
@@ -195,7 +195,7 @@
 func (g *Gateway) Ready() bool { return g.ready.Load() }
 
 // Listed brings discovery's news.
-func (g *Gateway) Listed(full bool, hosts []Host) {
+func (g *Gateway) UpdateServers(full bool, hosts []Host) {
 	e := logic.ServersListed{Full: full}
 	for _, h := range hosts {
 		e.Servers = append(e.Servers, h.Server)
@@ -204,13 +204,13 @@
 }
 
 // ListingFailed tells that the watch of discovery broke.
-func (g *Gateway) ListingFailed() { g.notify(logic.ServersListed{Failed: true}) }
+func (g *Gateway) DiscoveryFailed() { g.notify(logic.ServersListed{Failed: true}) }
 
 // Released brings the platform's news or its reply to a vote.
-func (g *Gateway) Released(e logic.ReleaseStatus) { g.notify(e) }
+func (g *Gateway) UpdateRelease(e logic.ReleaseStatus) { g.notify(e) }
 
 // Heard brings another router's message.
-func (g *Gateway) Heard(e logic.PeerMessage) { g.notify(e) }
+func (g *Gateway) DeliverPeerMessage(e logic.PeerMessage) { g.notify(e) }
 
 // notify posts an event that is of no use to anybody once the loop has ended.
 func (g *Gateway) notify(e any) {
@@ -220,7 +220,7 @@
 }
 
 // Run owns the module until ctx ends. Parts must be complete by then.
-func (g *Gateway) Run(ctx context.Context, parts Parts) {
+func (g *Gateway) Run(ctx context.Context, parts Outputs) {
 	defer close(g.done)
 	g.parts = parts
 	wake := time.NewTimer(time.Hour)
@@ -275,7 +275,7 @@
 	case attempted:
 		g.outcome(e)
 	case probed:
-		g.feed(logic.ProbeDone{Server: e.server, Outcome: e.result.Outcome, Took: e.result.Ended.Sub(e.sentAt),
+		g.feed(logic.ProbeDone{Server: e.server, Outcome: e.result.Outcome, Took: e.result.EndedAt.Sub(e.sentAt),
 			Load: e.result.Load})
 	case listed:
 		g.list(e)
@@ -292,9 +292,9 @@
 // arrive hands a request to the module.
 func (g *Gateway) arrive(ex *exchange.Exchange) {
 	f := ex.Fields
-	c := g.driver.Arrive(g.clock.Now(), &request{ex: ex}, logic.RequestArrived{Class: f.Class, Tenant: f.Tenant,
-		Key: f.Key, HasKey: f.HasKey, Left: max(0, time.Until(ex.Deadline)), Hint: f.Hint, Retry: f.Retry, Zone: f.Zone})
-	if !c.Gone() {
+	c := g.driver.Submit(g.clock.Now(), &request{ex: ex}, logic.RequestArrived{Class: f.Class, Tenant: f.Tenant,
+		Key: f.Key, HasKey: f.HasKey, Left: max(0, time.Until(ex.Deadline)), Hint: f.ExpectedWork, Retry: f.IsRetry, Zone: f.RequiredZone})
+	if !c.Finished() {
 		g.calls[ex] = c
 	}
 }
@@ -306,7 +306,7 @@
 	if c == nil {
 		return
 	}
-	if g.driver.Leave(g.clock.Now(), c) {
+	if g.driver.Abandon(g.clock.Now(), c) {
 		ex.Finish(exchange.Answer{Status: exchange.Failed})
 		delete(g.calls, ex)
 	}
@@ -314,24 +314,24 @@
 
 // outcome gives the module the end of an attempt. An answer is the client's at once.
 func (g *Gateway) outcome(e attempted) {
-	c := g.driver.Returned(e.id, e.attempt)
+	c := g.driver.EndAttempt(e.id, e.attempt)
 	if c == nil {
-		exchange.Answer{Free: e.result.Free}.Release()
+		exchange.Answer{FreeBody: e.result.FreeBody}.Release()
 		g.count.Inc("loop.stray_outcomes")
 		return
 	}
-	ex := c.Of.ex
-	c.Of.cancel = nil
+	ex := c.Request.ex
+	c.Request.cancel = nil
 	g.count.Inc("attempts." + outcomeName(e.result.Outcome))
-	over := e.result.Outcome == logic.OK || e.result.Held || c.Gone() || ex.Ended()
+	over := e.result.Outcome == logic.OK || e.result.NoLease || c.Finished() || ex.Ended()
 	if g.rules != nil {
 		g.rules.fleet.noted(c.Server, e.result)
 	}
 	switch {
-	case e.result.Held && e.attempt == 0: // nothing has been sent for it
+	case e.result.NoLease && e.attempt == 0: // nothing has been sent for it
 		ex.Finish(exchange.Answer{Status: exchange.Refused, RetryAfter: g.limits.RetryAfter})
 	case e.result.Outcome == logic.OK:
-		if a := (exchange.Answer{Status: exchange.Served, Body: e.result.Body, Free: e.result.Free, Attempts: e.attempt + 1}); !ex.Finish(a) {
+		if a := (exchange.Answer{Status: exchange.Served, Body: e.result.Body, FreeBody: e.result.FreeBody, Attempts: e.attempt + 1}); !ex.Finish(a) {
 			a.Release()
 		}
 	case over:
@@ -340,7 +340,7 @@
 	if over {
 		delete(g.calls, ex)
 	}
-	g.driver.Settled(g.clock.Now(), c, driver.End{Outcome: e.result.Outcome, At: g.clock.At(e.result.Ended), Begun: e.result.Begun,
+	g.driver.ReportOutcome(g.clock.Now(), c, driver.AttemptResult{Outcome: e.result.Outcome, EndedAt: g.clock.At(e.result.EndedAt), AnswerBegun: e.result.AnswerBegun,
 		Load: e.result.Load}, over)
 }
 
@@ -352,7 +352,7 @@
 	}
 	if !e.IsReply || e.Reply == logic.VoteCounts {
 		if e.Build == g.last.Build && e.Cap < g.last.Cap {
-			g.parts.Servers.Recall(e.Build)
+			g.parts.Servers.CancelUnsent(e.Build)
 		}
 		g.last, g.told = e, true
 		g.ready.Store(g.listed)
@@ -366,29 +366,29 @@
 // Start hands an attempt to the server side.
 func (g effects) Start(c *call, timeout time.Duration) {
 	now := time.Now()
-	deadline := c.Of.ex.Deadline
+	deadline := c.Request.ex.Deadline
 	if timeout > 0 && now.Add(timeout).Before(deadline) {
 		deadline = now.Add(timeout)
 	}
 	id, n, leaveBy := c.ID, c.Attempt(), time.Time{}
-	if c.LeaveBy > 0 {
-		leaveBy = g.clock.Time(c.LeaveBy)
+	if c.SendBy > 0 {
+		leaveBy = g.clock.Time(c.SendBy)
 	}
 	g.count.Inc("attempts.sent")
-	c.Of.cancel = g.parts.Servers.Start(Attempt{Exchange: c.Of.ex, Server: c.Server, Decided: now, Deadline: deadline, LeaveBy: leaveBy, Forward: c.Forward,
+	c.Request.cancel = g.parts.Servers.Start(Attempt{Exchange: c.Request.ex, Server: c.Server, DecidedAt: now, Deadline: deadline, SendBy: leaveBy, ForwardOnly: c.ForwardOnly,
 		Report: func(r Result) { g.notify(attempted{id, n, r}) }})
 }
 
-func (g effects) GiveUp(c *call) { c.Of.cancel() }
+func (g effects) CancelAttempt(c *call) { c.Request.cancel() }
 
 func (g effects) Finish(c *call, refused bool, retryAfter time.Duration) {
 	a := exchange.Answer{Status: exchange.Failed, Attempts: c.Attempt() + 1}
 	if refused {
 		a.Status, a.RetryAfter = exchange.Refused, retryAfter
 	}
-	c.Of.ex.Finish(a)
-	if !c.Out() {
-		delete(g.calls, c.Of.ex)
+	c.Request.ex.Finish(a)
+	if !c.InFlight() {
+		delete(g.calls, c.Request.ex)
 	}
 }
 
@@ -416,4 +416,4 @@
 	}
 }
 
-func (g effects) Stray(logic.Action) { g.count.Inc("loop.stray_actions") }
+func (g effects) ReportStray(logic.Action) { g.count.Inc("loop.stray_actions") }
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -40,7 +40,7 @@
 }
 
 // Ruled brings a version of the rules, or another conduct, and returns once the module knows of it.
-func (g *Gateway) Ruled(ctx context.Context, v *ruleset.View, c lease.Conduct) error {
+func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, c lease.Conduct) error {
 	e := ruled{v, c, make(chan struct{})}
 	if err := g.post(e); err != nil {
 		return err
@@ -64,7 +64,7 @@
 			e.event.Servers[i] = e.hosts[i].Server
 		}
 	}
-	g.parts.Servers.Listed(e.event.Full, e.hosts)
+	g.parts.Servers.UpdateServers(e.event.Full, e.hosts)
 	g.feed(e.event)
 	g.listed = g.listed || len(e.hosts) > 0
 	g.ready.Store(g.listed && g.told)
@@ -75,7 +75,7 @@
 	named := map[logic.ServerID]bool{}
 	for _, h := range e.hosts {
 		named[h.ID] = true
-		if was, ok := r.hosts[h.ID]; ok && (was.Born != h.Born || was.Build != h.Build) {
+		if was, ok := r.hosts[h.ID]; ok && (was.StartedUnixMs != h.StartedUnixMs || was.Build != h.Build) {
 			delete(r.lifted, h.ID)
 		}
 		if h.State == logic.Gone {
@@ -99,7 +99,7 @@
 		r.lifted[h.ID] = at
 	}
 	h.Started = max(h.Started, r.lifted[h.ID])
-	h.State = r.view.State(h.Name, h.Born, h.State)
+	h.State = r.view.State(h.Name, h.StartedUnixMs, h.State)
 	return h
 }
 
@@ -131,7 +131,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		g.parts.Servers.Listed(false, changed)
+		g.parts.Servers.UpdateServers(false, changed)
 		g.feed(event)
 	}
 	if r.news != nil && r.news.Phase == logic.OnTrial {
@@ -147,8 +147,8 @@
 		return
 	}
 	for ex, c := range g.calls {
-		if c.Attempt() < 0 && !c.Out() && ex.Finish(exchange.Answer{Status: exchange.Refused, RetryAfter: g.limits.RetryAfter}) {
-			g.driver.Leave(g.clock.Now(), c)
+		if c.Attempt() < 0 && !c.InFlight() && ex.Finish(exchange.Answer{Status: exchange.Refused, RetryAfter: g.limits.RetryAfter}) {
+			g.driver.Abandon(g.clock.Now(), c)
 			delete(g.calls, ex)
 		}
 	}
--- a/internal/ledger/counter.go
+++ b/internal/ledger/counter.go
@@ -38,7 +38,7 @@
 
 // Count makes an answer's use durable.
 func (c *Counter) Count(ctx context.Context, f exchange.Fields, a exchange.Answer) (written func()) {
-	u := usage.Use{Tenant: f.Tenant, Class: f.Class, Outcome: outcomes[a.Status], Attempts: int64(a.Attempts), Work: f.Hint}
+	u := usage.Use{Tenant: f.Tenant, Class: f.Class, Outcome: outcomes[a.Status], Attempts: int64(a.Attempts), Work: f.ExpectedWork}
 	if a.Status == exchange.Served {
 		u.Worth = c.worth[f.Class]
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -17,7 +17,7 @@
 )
 
 // Sink takes the messages.
-type Sink interface{ Heard(logic.PeerMessage) }
+type Sink interface{ DeliverPeerMessage(logic.PeerMessage) }
 
 // Peers is the socket towards the other routers.
 type Peers struct {
@@ -131,7 +131,7 @@
 			p.count.Inc("peers.too_long")
 		default:
 			p.count.Inc("peers.received")
-			sink.Heard(logic.PeerMessage{From: number, Data: append([]byte(nil), buf[:n]...)})
+			sink.DeliverPeerMessage(logic.PeerMessage{From: number, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -23,7 +23,7 @@
 )
 
 // Sink takes the news and the replies to votes.
-type Sink interface{ Released(logic.ReleaseStatus) }
+type Sink interface{ UpdateRelease(logic.ReleaseStatus) }
 
 // call is one that waits for its answer, in the order of writing.
 type call struct {
@@ -74,7 +74,7 @@
 
 func (c *Client) reply(e logic.ReleaseStatus) {
 	c.count.Inc("platform.replies_" + replyNames[e.Reply])
-	c.sink.Released(e)
+	c.sink.UpdateRelease(e)
 }
 
 var replyNames = map[logic.VoteReply]string{logic.VoteCounts: "ok", logic.VoteMoot: "stale",
@@ -90,7 +90,7 @@
 
 // session holds one connection until it breaks, or until a later address has spoken and all calls are answered.
 func (c *Client) session(ctx context.Context, at *reconnect.Place) error {
-	dialer := net.Dialer{Timeout: c.limits.PeerDial}
+	dialer := net.Dialer{Timeout: c.limits.ControlDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", at.Addr)
 	if err != nil {
 		return fmt.Errorf("platform: %w", err)
@@ -111,11 +111,11 @@
 		return err
 	}
 	defer context.AfterFunc(at.Replaced(), func() { c.finish(l) })()
-	r := bufio.NewReaderSize(conn, c.limits.MaxLine)
+	r := bufio.NewReaderSize(conn, c.limits.MaxPlatformLine)
 	for {
 		// Danger: a connection to a platform that was cut off stays open and silent; with no sign of life
 		// it counts as broken.
-		if err := conn.SetReadDeadline(time.Now().Add(c.limits.NewsSilence)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(c.limits.PlatformSilenceTimeout)); err != nil {
 			return fmt.Errorf("platform: %w", err)
 		}
 		text, err := r.ReadSlice('\n')
@@ -189,7 +189,7 @@
 	if state {
 		c.latest = e
 	}
-	c.sink.Released(e)
+	c.sink.UpdateRelease(e)
 }
 
 // finish has a line end as soon as nothing waits on it.
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -127,7 +127,7 @@
 	defer f.mu.Unlock()
 	p.pace = backoff.New(f.rule, len(f.places) > 0)
 	for _, earlier := range f.places {
-		time.AfterFunc(f.limits.MoveGrace, earlier.stop)
+		time.AfterFunc(f.limits.AddressChangeGrace, earlier.stop)
 	}
 	f.places = append(f.places, p)
 	return p, here
--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -21,8 +21,8 @@
 	p.work.Go(func() {
 		defer stop()
 		r := p.attempt(ctx, a)
-		if r.Ended.IsZero() {
-			r.Ended = time.Now()
+		if r.EndedAt.IsZero() {
+			r.EndedAt = time.Now()
 		}
 		a.Report(r)
 	})
@@ -37,13 +37,13 @@
 		return failed
 	}
 	// Danger: the request may have ended, its client left, or the host begun to drain, while the connection was made.
-	if a.Exchange.Ended() || a.Exchange.Left() || ctx.Err() != nil || !p.leaves(h, a) {
+	if a.Exchange.Ended() || a.Exchange.Abandoned() || ctx.Err() != nil || !p.leaves(h, a) {
 		p.count.Inc("attempts.given_up_unsent")
 		p.give(h, c)
 		return gateway.Result{Outcome: logic.NotSent}
 	}
-	r := p.exchange(ctx, h, c, request(a), a.Exchange.Planned)
-	if r.Outcome == logic.OK || r.Begun {
+	r := p.exchange(ctx, h, c, request(a), a.Exchange.DispatchID)
+	if r.Outcome == logic.OK || r.AnswerBegun {
 		p.answered(h, a)
 	}
 	return r
@@ -66,7 +66,7 @@
 	case errors.Is(err, errNoDescriptor) || ctx.Err() != nil:
 		return h, nil, gateway.Result{Outcome: logic.NotSent}
 	default:
-		return h, nil, gateway.Result{Outcome: logic.ConnectFailed, Refused: errors.Is(err, syscall.ECONNREFUSED)}
+		return h, nil, gateway.Result{Outcome: logic.ConnectFailed, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)}
 	}
 }
 
@@ -77,9 +77,9 @@
 	if p.Gate != nil {
 		var refused error
 		as := p.listed(h)
-		if pass, refused = p.Gate.Begin(as.Name, as.Born, planned, c.giveUp); refused != nil {
+		if pass, refused = p.Gate.Begin(as.Name, as.StartedUnixMs, planned, c.giveUp); refused != nil {
 			p.give(h, c)
-			return gateway.Result{Outcome: logic.NotSent, Held: errors.Is(refused, accord.ErrNoLease)}
+			return gateway.Result{Outcome: logic.NotSent, NoLease: errors.Is(refused, accord.ErrNoLease)}
 		}
 	}
 	r, written, err := c.roundTrip(ctx, text, pass)
@@ -90,7 +90,7 @@
 	}
 	switch {
 	case !written && (errors.Is(err, accord.ErrNoLease) || errors.Is(err, accord.ErrCordoned) || errors.Is(err, accord.ErrWithdrawn)):
-		return gateway.Result{Outcome: logic.NotSent, Held: errors.Is(err, accord.ErrNoLease)}
+		return gateway.Result{Outcome: logic.NotSent, NoLease: errors.Is(err, accord.ErrNoLease)}
 	case !written && ctx.Err() != nil: // given up: the host is not to blame
 		return gateway.Result{Outcome: logic.NotSent}
 	case !written:
@@ -99,14 +99,14 @@
 		r.room.free()
 		return gateway.Result{Outcome: outcome(r), Load: r.load}
 	case err == nil:
-		return gateway.Result{Outcome: logic.OK, Body: r.body, Free: r.room.free, Load: r.load}
+		return gateway.Result{Outcome: logic.OK, Body: r.body, FreeBody: r.room.free, Load: r.load}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return gateway.Result{Outcome: logic.TimedOut, Begun: r.good()}
+		return gateway.Result{Outcome: logic.TimedOut, AnswerBegun: r.good()}
 	case ctx.Err() != nil:
-		return gateway.Result{Outcome: logic.Cancelled, Begun: r.good()}
+		return gateway.Result{Outcome: logic.Cancelled, AnswerBegun: r.good()}
 	}
 	p.count.Inc("answers." + reason(err))
-	return gateway.Result{Outcome: logic.Reset, Begun: r.good()}
+	return gateway.Result{Outcome: logic.Reset, AnswerBegun: r.good()}
 }
 
 // reason names why an answer can't be used, for the counters.
@@ -165,7 +165,7 @@
 		ctx, stop := context.WithTimeout(p.ctx, p.limits.ProbeTimeout)
 		defer stop()
 		r := p.probe(ctx, server)
-		r.Ended = time.Now()
+		r.EndedAt = time.Now()
 		p.count.Inc("probes.sent")
 		report(r)
 	})
@@ -180,6 +180,6 @@
 	if r.Load == nil && r.Outcome == logic.OK {
 		r.Load = parseLoad(string(r.Body))
 	}
-	exchange.Answer{Free: r.Free}.Release()
+	exchange.Answer{FreeBody: r.FreeBody}.Release()
 	return r
 }
--- a/internal/servers/pool.go
+++ b/internal/servers/pool.go
@@ -53,7 +53,7 @@
 func New(limits config.Limits, count *metrics.Registry) *Pool {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{limits: limits, count: count, ctx: ctx, stop: stop, hosts: map[logic.ServerID]*host{},
-		recalled: map[logic.BuildID]time.Time{}, left: map[uint64]left{}, room: &room{left: limits.AnswerRoom}}
+		recalled: map[logic.BuildID]time.Time{}, left: map[uint64]left{}, room: &room{left: limits.LongAnswerBudget}}
 	p.work.Go(p.retire)
 	return p
 }
@@ -70,7 +70,7 @@
 }
 
 // Listed takes discovery's list, or its changes.
-func (p *Pool) Listed(full bool, hosts []gateway.Host) {
+func (p *Pool) UpdateServers(full bool, hosts []gateway.Host) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +160,7 @@
 }
 
 // Recall voids sends to a build that were decided before now and have not left.
-func (p *Pool) Recall(build logic.BuildID) {
+func (p *Pool) CancelUnsent(build logic.BuildID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -191,7 +191,7 @@
 
 // forward notes that what was decided for an attempt's key before now may not leave for an earlier build; the lock is held.
 func (p *Pool) forward(h *host, a gateway.Attempt) {
-	if key := a.Exchange.Fields.Key; a.Forward && p.left[key].build <= h.Build {
+	if key := a.Exchange.Fields.Key; a.ForwardOnly && p.left[key].build <= h.Build {
 		p.left[key] = left{h.Build, time.Now()}
 	}
 }
@@ -203,12 +203,12 @@
 	now := time.Now()
 	drained := !h.drained.IsZero() && now.After(h.drained.Add(p.limits.SendGrace))
 	at, ok := p.recalled[h.Build]
-	recalled := ok && a.Decided.Before(at)
-	if a.Forward { // what is decided later is the module's: the later build may go back by then
+	recalled := ok && a.DecidedAt.Before(at)
+	if a.ForwardOnly { // what is decided later is the module's: the later build may go back by then
 		newer := p.left[a.Exchange.Fields.Key]
-		recalled = recalled || h.Build < newer.build && a.Decided.Before(newer.at)
+		recalled = recalled || h.Build < newer.build && a.DecidedAt.Before(newer.at)
 	}
-	return h.replaced || drained || recalled || !a.LeaveBy.IsZero() && now.After(a.LeaveBy)
+	return h.replaced || drained || recalled || !a.SendBy.IsZero() && now.After(a.SendBy)
 }
 
 // listed is how the list has a host now. Danger: the list may change while an attempt is on its way.
@@ -232,9 +232,9 @@
 func (p *Pool) take(h *host) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, settle := time.Now(), p.limits.ServerSettle
+	now, settle := time.Now(), p.limits.ServerReuseDelay
 	if p.open >= p.limits.ServerConns {
-		settle = p.limits.SettleLeast
+		settle = p.limits.MinServerReuseDelay
 	}
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		c := h.idle[i]
@@ -242,7 +242,7 @@
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
-		if !c.shut && now.Sub(c.usedAt) < p.limits.ServerIdle && c.silent() {
+		if !c.shut && now.Sub(c.usedAt) < p.limits.ServerIdleTimeout && c.silent() {
 			return c
 		}
 		p.count.Inc("connections.found_closed")
@@ -259,7 +259,7 @@
 		return
 	}
 	c.usedAt = time.Now()
-	if h.replaced || h.State == logic.Gone || p.ctx.Err() != nil || len(h.idle) >= p.limits.MaxPerServer {
+	if h.replaced || h.State == logic.Gone || p.ctx.Err() != nil || len(h.idle) >= p.limits.MaxIdlePerServer {
 		p.shut(c)
 		return
 	}
@@ -310,14 +310,14 @@
 		return nil, err
 	}
 	p.count.Inc("connections.opened")
-	return newConn(raw, limits{p.limits.MaxHead, p.limits.MaxAnswer, p.room, p.limits.AnswerWhole}), nil
+	return newConn(raw, limits{p.limits.MaxHead, p.limits.MaxAnswer, p.room, p.limits.AnswerReadTimeout}), nil
 }
 
 // retire closes idle connections before the machines' own limit does, and those that hosts have closed or said
 // something on. Danger: a request that crosses the
 // machine's close may have run, and one of an unsafe class could not be tried again.
 func (p *Pool) retire() {
-	tick := time.NewTicker(max(p.limits.ServerIdle/16, 10*time.Millisecond))
+	tick := time.NewTicker(max(p.limits.ServerIdleTimeout/16, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -331,7 +331,7 @@
 		})
 		for _, h := range p.hosts {
 			h.idle = slices.DeleteFunc(h.idle, func(c *conn) bool {
-				old := time.Since(c.usedAt) >= p.limits.ServerIdle
+				old := time.Since(c.usedAt) >= p.limits.ServerIdleTimeout
 				if !old && c.silent() {
 					return false
 				}
--- a/internal/template/jsonnet/jsonnet.go
+++ b/internal/template/jsonnet/jsonnet.go
@@ -20,7 +20,7 @@
 )
 
 // Text evaluates a file to the text of JSON; imports are resolved beside it. A wrong file is a *template.Error.
-func Text(path string) (string, error) {
+func Evaluate(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return "", &template.Error{File: path, Text: errors.Unwrap(err).Error()}
@@ -36,11 +36,11 @@
 
 // Load evaluates a file to an object.
 func Load(path string) (map[string]any, error) {
-	text, err := Text(path)
+	text, err := Evaluate(path)
 	if err != nil {
 		return nil, err
 	}
-	return template.Object(path, text)
+	return template.ParseObject(path, text)
 }
 
 // Parse evaluates a text as Load does a file; imports are refused.
@@ -55,7 +55,7 @@
 	if err := wrong(name, err); err != nil {
 		return nil, err
 	}
-	return template.Object(name, out)
+	return template.ParseObject(name, out)
 }
 
 // wrong tells the first line of what the evaluation failed with.
--- a/internal/template/template.go
+++ b/internal/template/template.go
@@ -31,7 +31,7 @@
 }
 
 // Object reads the text of plain JSON; the name stands for it in errors.
-func Object(file, text string) (map[string]any, error) {
+func ParseObject(file, text string) (map[string]any, error) {
 	var v any
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
 		return nil, &Error{File: file, Text: "not JSON: " + err.Error()}
