--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -80,16 +80,16 @@
 		return registrar.Options{}, err
 	}
 	a := f.Accord
-	if !a.On() {
+	if !a.Enabled() {
 		return registrar.Options{}, fmt.Errorf("%s: accord.cluster: expected a name", o.settings)
 	}
 	if _, ok := a.Registrars[o.name]; !ok {
 		return registrar.Options{}, fmt.Errorf("%s: accord.registrars: expected one named %q", o.settings, o.name)
 	}
-	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.Terms(),
-		Budget: cordon.Budget{Share: a.Budget}, Cold: a.Cold, Planned: a.Planned(),
+	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.LeaseTerms(),
+		Budget: cordon.Budget{Share: a.Budget}, Cold: a.ColdTime, Planned: a.ScheduleSettings(),
 		Unix: func() time.Time { return time.Now().Add(a.ClockStep) }, Clock: accord.Clock{Rate: a.ClockRate},
-		Auto: cordon.AutoPolicy{MinDispatchers: a.Auto.Agreeing, MaxCordons: a.Auto.Most, ErrorShare: a.Auto.Share, MinAnswers: a.Auto.Least}}, nil
+		Auto: cordon.AutoPolicy{MinDispatchers: a.Auto.MinAgreeing, MaxCordons: a.Auto.MaxCordons, ErrorShare: a.Auto.ErrorShare, MinAnswers: a.Auto.MinAnswers}}, nil
 }
 
 func initCommand() *cobra.Command {
