--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -15,7 +15,7 @@
 // that narrows them. The module hears of a cordon as it hears of a drain.
 type rules struct {
 	view    *ruleset.View
-	conduct lease.Conduct
+	conduct lease.Permission
 	hosts   map[logic.ServerID]Host          // as listed
 	lifted  map[logic.ServerID]time.Duration // when the cordon of this life was lifted: it counts as started then
 	news    *logic.ReleaseStatus             // the platform's latest; nil: none yet
@@ -26,7 +26,7 @@
 // ruled is a version of the rules, or another conduct.
 type ruled struct {
 	view    *ruleset.View
-	conduct lease.Conduct
+	conduct lease.Permission
 	heard   chan struct{} // closed once the module knows
 }
 
@@ -34,13 +34,13 @@
 // before Run. The Fleet is what dispatchers tell their registrars of the servers.
 func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
 	f := newFleet(g.clock, coldTime)
-	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.Nothing, hosts: map[logic.ServerID]Host{},
+	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.None, hosts: map[logic.ServerID]Host{},
 		lifted: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
 }
 
 // Ruled brings a version of the rules, or another conduct, and returns once the module knows of it.
-func (g *Gateway) Ruled(ctx context.Context, v *ruleset.View, c lease.Conduct) error {
+func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, c lease.Permission) error {
 	e := ruled{v, c, make(chan struct{})}
 	if err := g.post(e); err != nil {
 		return err
@@ -64,7 +64,7 @@
 			e.event.Servers[i] = e.hosts[i].Server
 		}
 	}
-	g.parts.Servers.Listed(e.event.Full, e.hosts)
+	g.parts.Servers.UpdateServers(e.event.Full, e.hosts)
 	g.feed(e.event)
 	g.listed = g.listed || len(e.hosts) > 0
 	g.ready.Store(g.listed && g.told)
@@ -75,7 +75,7 @@
 	named := map[logic.ServerID]bool{}
 	for _, h := range e.hosts {
 		named[h.ID] = true
-		if was, ok := r.hosts[h.ID]; ok && (was.Born != h.Born || was.Build != h.Build) {
+		if was, ok := r.hosts[h.ID]; ok && (was.StartedUnixMs != h.StartedUnixMs || was.Build != h.Build) {
 			delete(r.lifted, h.ID)
 		}
 		if h.State == logic.Gone {
@@ -99,7 +99,7 @@
 		r.lifted[h.ID] = at
 	}
 	h.Started = max(h.Started, r.lifted[h.ID])
-	h.State = r.view.State(h.Name, h.Born, h.State)
+	h.State = r.view.RestrictState(h.Name, h.StartedUnixMs, h.State)
 	return h
 }
 
@@ -110,7 +110,7 @@
 		kept.IsReply = false
 		r.news, r.newsAt = &kept, now
 	}
-	return r.view.Release(e, r.conduct)
+	return r.view.RestrictRelease(e, r.conduct)
 }
 
 // rule takes a version in, or another conduct: what it changes for servers, for the build on trial, for shares and worths
@@ -131,11 +131,11 @@
 		}
 	}
 	if len(changed) > 0 {
-		g.parts.Servers.Listed(false, changed)
+		g.parts.Servers.UpdateServers(false, changed)
 		g.feed(event)
 	}
 	if r.news != nil && r.news.Phase == logic.OnTrial {
-		if now := r.view.Release(*r.news, r.conduct); now.Cap != g.last.Cap || now.Build != g.last.Build {
+		if now := r.view.RestrictRelease(*r.news, r.conduct); now.Cap != g.last.Cap || now.Build != g.last.Build {
 			again := *r.news
 			again.StageAge += g.clock.Now() - r.newsAt
 			g.release(again)
@@ -143,12 +143,12 @@
 	}
 	d := r.view.Document.Rules
 	g.router.SetSharesAndWorths(d.Tenants, d.Worth)
-	if r.conduct != lease.Nothing {
+	if r.conduct != lease.None {
 		return
 	}
 	for ex, c := range g.calls {
-		if c.Attempt() < 0 && !c.Out() && ex.Finish(exchange.Answer{Status: exchange.Refused, RetryAfter: g.limits.RetryAfter}) {
-			g.driver.Leave(g.clock.Now(), c)
+		if c.Attempt() < 0 && !c.InFlight() && ex.Finish(exchange.Answer{Status: exchange.Refused, RetryAfter: g.limits.RetryAfter}) {
+			g.driver.Abandon(g.clock.Now(), c)
 			delete(g.calls, ex)
 		}
 	}
--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -22,8 +22,8 @@
 	p.work.Go(func() {
 		defer stop()
 		r := p.runAttempt(ctx, a)
-		if r.Ended.IsZero() {
-			r.Ended = time.Now()
+		if r.EndedAt.IsZero() {
+			r.EndedAt = time.Now()
 		}
 		a.Report(r)
 	})
@@ -38,13 +38,13 @@
 		return failure
 	}
 	// While the connection was being made, the request may have ended, its client left, or the host started to drain.
-	if a.Exchange.Ended() || a.Exchange.Left() || ctx.Err() != nil || !p.admitSend(h, a) {
+	if a.Exchange.Ended() || a.Exchange.Abandoned() || ctx.Err() != nil || !p.admitSend(h, a) {
 		p.counters.Inc("attempts.given_up_unsent")
 		p.putIdle(h, c)
 		return gateway.Result{Outcome: logic.NotSent}
 	}
-	r := p.execute(ctx, h, c, encodeRequest(a), a.Exchange.Planned)
-	if r.Outcome == logic.OK || r.Begun {
+	r := p.execute(ctx, h, c, encodeRequest(a), a.Exchange.DispatchID)
+	if r.Outcome == logic.OK || r.AnswerBegun {
 		p.recordAnswered(h, a)
 	}
 	return r
@@ -68,7 +68,7 @@
 	case errors.Is(err, errNoDescriptor) || ctx.Err() != nil:
 		return h, nil, gateway.Result{Outcome: logic.NotSent}
 	default:
-		return h, nil, gateway.Result{Outcome: logic.ConnectFailed, Refused: errors.Is(err, syscall.ECONNREFUSED)}
+		return h, nil, gateway.Result{Outcome: logic.ConnectFailed, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)}
 	}
 }
 
@@ -79,9 +79,9 @@
 	if p.Gate != nil {
 		var refused error
 		entry := p.currentEntry(h)
-		if pass, refused = p.Gate.Begin(entry.Name, entry.Born, planned, c.abort); refused != nil {
+		if pass, refused = p.Gate.Begin(entry.Name, entry.StartedUnixMs, planned, c.abort); refused != nil {
 			p.putIdle(h, c)
-			return gateway.Result{Outcome: logic.NotSent, Held: errors.Is(refused, accord.ErrNoLease)}
+			return gateway.Result{Outcome: logic.NotSent, NoLease: errors.Is(refused, accord.ErrNoLease)}
 		}
 	}
 	r, written, err := c.roundTrip(ctx, text, pass)
@@ -92,7 +92,7 @@
 	}
 	switch {
 	case !written && (errors.Is(err, accord.ErrNoLease) || errors.Is(err, accord.ErrCordoned) || errors.Is(err, accord.ErrWithdrawn)):
-		return gateway.Result{Outcome: logic.NotSent, Held: errors.Is(err, accord.ErrNoLease)}
+		return gateway.Result{Outcome: logic.NotSent, NoLease: errors.Is(err, accord.ErrNoLease)}
 	case !written && ctx.Err() != nil: // the attempt was given up: not a failure of the host
 		return gateway.Result{Outcome: logic.NotSent}
 	case !written:
@@ -101,14 +101,14 @@
 		r.allocation.free()
 		return gateway.Result{Outcome: outcomeOf(r), Load: r.load}
 	case err == nil:
-		return gateway.Result{Outcome: logic.OK, Body: r.body, Free: r.allocation.free, Load: r.load}
+		return gateway.Result{Outcome: logic.OK, Body: r.body, FreeBody: r.allocation.free, Load: r.load}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return gateway.Result{Outcome: logic.TimedOut, Begun: r.begunOK()}
+		return gateway.Result{Outcome: logic.TimedOut, AnswerBegun: r.begunOK()}
 	case ctx.Err() != nil:
-		return gateway.Result{Outcome: logic.Cancelled, Begun: r.begunOK()}
+		return gateway.Result{Outcome: logic.Cancelled, AnswerBegun: r.begunOK()}
 	}
 	p.counters.Inc("answers." + failureReason(err))
-	return gateway.Result{Outcome: logic.Reset, Begun: r.begunOK()}
+	return gateway.Result{Outcome: logic.Reset, AnswerBegun: r.begunOK()}
 }
 
 // failureReason returns the name under which the counters count an answer that cannot be used.
@@ -168,7 +168,7 @@
 		ctx, stop := context.WithTimeout(p.ctx, p.limits.ProbeTimeout)
 		defer stop()
 		r := p.runProbe(ctx, server)
-		r.Ended = time.Now()
+		r.EndedAt = time.Now()
 		p.counters.Inc("probes.sent")
 		report(r)
 	})
@@ -184,6 +184,6 @@
 	if r.Load == nil && r.Outcome == logic.OK {
 		r.Load = parseLoad(string(r.Body))
 	}
-	exchange.Answer{Free: r.Free}.Release()
+	exchange.Answer{FreeBody: r.FreeBody}.Release()
 	return r
 }
--- a/internal/servers/pool.go
+++ b/internal/servers/pool.go
@@ -40,8 +40,8 @@
 	mu         sync.Mutex
 	hosts      map[logic.ServerID]*host
 	open       int                         // connections that are open or being dialed
-	recalledAt map[logic.BuildID]time.Time // time of the last Recall, by build
-	keyBuilds  map[uint64]keyBuild         // by key of a request, for attempts marked Forward
+	canceledAt map[logic.BuildID]time.Time // time of the last CancelUnsent, by build
+	keyBuilds  map[uint64]keyBuild         // by key of a request, for attempts marked ForwardOnly
 }
 
 // keyBuild is the newest build to which an attempt for a key was sent, and when such an attempt was last sent or
@@ -55,7 +55,7 @@
 func New(limits config.Limits, counters *metrics.Registry) *Pool {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{limits: limits, counters: counters, ctx: ctx, stop: stop, hosts: map[logic.ServerID]*host{},
-		recalledAt: map[logic.BuildID]time.Time{}, keyBuilds: map[uint64]keyBuild{}, bodyBudget: &memoryBudget{available: limits.AnswerRoom}}
+		canceledAt: map[logic.BuildID]time.Time{}, keyBuilds: map[uint64]keyBuild{}, bodyBudget: &memoryBudget{available: limits.LongAnswerBudget}}
 	p.work.Go(p.expireLoop)
 	return p
 }
@@ -71,8 +71,8 @@
 	p.work.Wait()
 }
 
-// Listed applies discovery's list of hosts: the whole list if full is set, changes to it otherwise.
-func (p *Pool) Listed(full bool, hosts []gateway.Host) {
+// UpdateServers applies discovery's list of hosts: the whole list if full is set, changes to it otherwise.
+func (p *Pool) UpdateServers(full bool, hosts []gateway.Host) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,15 +162,15 @@
 	}
 }
 
-// Recall voids all attempts at servers of a build that were decided before now and have not been sent yet.
-func (p *Pool) Recall(build logic.BuildID) {
+// CancelUnsent voids all attempts at servers of a build that were decided before now and have not been sent yet.
+func (p *Pool) CancelUnsent(build logic.BuildID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(p.recalledAt, func(_ logic.BuildID, at time.Time) bool {
+	maps.DeleteFunc(p.canceledAt, func(_ logic.BuildID, at time.Time) bool {
 		return now.Sub(at) > p.limits.MaxWait // attempts decided before then have ended, and new builds keep coming
 	})
-	p.recalledAt[build] = now
+	p.canceledAt[build] = now
 }
 
 // admitSend reports whether an attempt may be sent now. If so, it records the build for the attempt's key in the
@@ -196,7 +196,7 @@
 // recordKeyBuild records that attempts for the same key that were decided before now must not be sent to an earlier
 // build. The caller holds the lock.
 func (p *Pool) recordKeyBuild(h *host, a gateway.Attempt) {
-	if key := a.Exchange.Fields.Key; a.Forward && p.keyBuilds[key].build <= h.Build {
+	if key := a.Exchange.Fields.Key; a.ForwardOnly && p.keyBuilds[key].build <= h.Build {
 		p.keyBuilds[key] = keyBuild{h.Build, time.Now()}
 	}
 }
@@ -208,13 +208,13 @@
 func (p *Pool) tooLate(h *host, a gateway.Attempt) bool {
 	now := time.Now()
 	drained := !h.drainingSince.IsZero() && now.After(h.drainingSince.Add(p.limits.SendGrace))
-	at, ok := p.recalledAt[h.Build]
-	recalled := ok && a.Decided.Before(at)
-	if a.Forward { // decisions made since are left to the logic package: the newer build may be rolling back by then
+	at, ok := p.canceledAt[h.Build]
+	canceled := ok && a.DecidedAt.Before(at)
+	if a.ForwardOnly { // decisions made since are left to the logic package: the newer build may be rolling back by then
 		newest := p.keyBuilds[a.Exchange.Fields.Key]
-		recalled = recalled || h.Build < newest.build && a.Decided.Before(newest.at)
+		canceled = canceled || h.Build < newest.build && a.DecidedAt.Before(newest.at)
 	}
-	return h.obsolete || drained || recalled || !a.LeaveBy.IsZero() && now.After(a.LeaveBy)
+	return h.obsolete || drained || canceled || !a.SendBy.IsZero() && now.After(a.SendBy)
 }
 
 // currentEntry returns a host's current entry in the list, which may change while an attempt is in progress.
@@ -232,24 +232,24 @@
 }
 
 // takeIdle removes and returns the most recently used idle connection of a host, or nil. A connection on which an
-// answer has just arrived is not reused for a settling time, because a duplicate of the answer or the end of the
+// answer has just arrived is not reused for a short delay, because a duplicate of the answer or the end of the
 // connection may follow some milliseconds later: a request written in between would take the duplicate for its answer,
 // or be lost with the connection. The cost is an additional connection when a host gets the next request at once, so
-// the settling time is shorter while no descriptor is left for another connection.
+// the delay is shorter while no descriptor is left for another connection.
 func (p *Pool) takeIdle(h *host) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, settle := time.Now(), p.limits.ServerSettle
+	now, reuseDelay := time.Now(), p.limits.ServerReuseDelay
 	if p.open >= p.limits.ServerConns {
-		settle = p.limits.SettleLeast
+		reuseDelay = p.limits.MinServerReuseDelay
 	}
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		c := h.idle[i]
-		if now.Sub(c.usedAt) < settle {
+		if now.Sub(c.usedAt) < reuseDelay {
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
-		if !c.closed && now.Sub(c.usedAt) < p.limits.ServerIdle && c.openAndEmpty() {
+		if !c.closed && now.Sub(c.usedAt) < p.limits.ServerIdleTimeout && c.openAndEmpty() {
 			return c
 		}
 		p.counters.Inc("connections.found_closed")
@@ -267,7 +267,7 @@
 		return
 	}
 	c.usedAt = time.Now()
-	if h.obsolete || h.State == logic.Gone || p.ctx.Err() != nil || len(h.idle) >= p.limits.MaxPerServer {
+	if h.obsolete || h.State == logic.Gone || p.ctx.Err() != nil || len(h.idle) >= p.limits.MaxIdlePerServer {
 		p.closeConn(c)
 		return
 	}
@@ -319,14 +319,14 @@
 		return nil, err
 	}
 	p.counters.Inc("connections.opened")
-	return newConn(raw, responseLimits{p.limits.MaxHead, p.limits.MaxAnswer, p.bodyBudget, p.limits.AnswerWhole}), nil
+	return newConn(raw, responseLimits{p.limits.MaxHead, p.limits.MaxAnswer, p.bodyBudget, p.limits.AnswerReadTimeout}), nil
 }
 
 // expireLoop closes idle connections before the hosts' own idle timeout does, and those that a host has closed or sent
 // unrequested bytes on. Without this, a request could cross the host's close; it might have run, and one of an unsafe
 // class could not be retried. The loop also drops old entries of keyBuilds.
 func (p *Pool) expireLoop() {
-	tick := time.NewTicker(max(p.limits.ServerIdle/16, 10*time.Millisecond))
+	tick := time.NewTicker(max(p.limits.ServerIdleTimeout/16, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -340,7 +340,7 @@
 		})
 		for _, h := range p.hosts {
 			h.idle = slices.DeleteFunc(h.idle, func(c *conn) bool {
-				expired := time.Since(c.usedAt) >= p.limits.ServerIdle
+				expired := time.Since(c.usedAt) >= p.limits.ServerIdleTimeout
 				if !expired && c.openAndEmpty() {
 					return false
 				}
