--- a/internal/servers/pool.go
+++ b/internal/servers/pool.go
@@ -37,11 +37,11 @@
 	work       sync.WaitGroup
 	bodyBudget *memoryBudget
 
-	mu         sync.Mutex
-	hosts      map[logic.ServerID]*host
-	open       int                         // connections that are open or being dialed
-	canceledAt map[logic.BuildID]time.Time // time of the last CancelUnsent, by build
-	keyBuilds  map[uint64]keyBuild         // by key of a request, for attempts marked ForwardOnly
+	mu          sync.Mutex
+	hosts       map[logic.ServerID]*host
+	open        int                         // connections that are open or being dialed
+	cancelledAt map[logic.BuildID]time.Time // time of the last CancelUnsent, by build
+	keyBuilds   map[uint64]keyBuild         // by key of a request, for attempts marked ForwardOnly
 }
 
 // keyBuild is the newest build to which an attempt for a key was sent, and when such an attempt was last sent or
@@ -55,7 +55,7 @@
 func New(limits config.Limits, counters *metrics.Registry) *Pool {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{limits: limits, counters: counters, ctx: ctx, stop: stop, hosts: map[logic.ServerID]*host{},
-		canceledAt: map[logic.BuildID]time.Time{}, keyBuilds: map[uint64]keyBuild{}, bodyBudget: &memoryBudget{available: limits.LongAnswerBudget}}
+		cancelledAt: map[logic.BuildID]time.Time{}, keyBuilds: map[uint64]keyBuild{}, bodyBudget: &memoryBudget{available: limits.LongAnswerBudget}}
 	p.work.Go(p.expireLoop)
 	return p
 }
@@ -167,10 +167,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(p.canceledAt, func(_ logic.BuildID, at time.Time) bool {
+	maps.DeleteFunc(p.cancelledAt, func(_ logic.BuildID, at time.Time) bool {
 		return now.Sub(at) > p.limits.MaxWait // attempts decided before then have ended, and new builds keep coming
 	})
-	p.canceledAt[build] = now
+	p.cancelledAt[build] = now
 }
 
 // admitSend reports whether an attempt may be sent now. If so, it records the build for the attempt's key in the
@@ -208,13 +208,13 @@
 func (p *Pool) tooLate(h *host, a gateway.Attempt) bool {
 	now := time.Now()
 	drained := !h.drainingSince.IsZero() && now.After(h.drainingSince.Add(p.limits.SendGrace))
-	at, ok := p.canceledAt[h.Build]
-	canceled := ok && a.DecidedAt.Before(at)
+	at, ok := p.cancelledAt[h.Build]
+	cancelled := ok && a.DecidedAt.Before(at)
 	if a.ForwardOnly { // decisions made since are left to the logic package: the newer build may be rolling back by then
 		newest := p.keyBuilds[a.Exchange.Fields.Key]
-		canceled = canceled || h.Build < newest.build && a.DecidedAt.Before(newest.at)
+		cancelled = cancelled || h.Build < newest.build && a.DecidedAt.Before(newest.at)
 	}
-	return h.obsolete || drained || canceled || !a.SendBy.IsZero() && now.After(a.SendBy)
+	return h.obsolete || drained || cancelled || !a.SendBy.IsZero() && now.After(a.SendBy)
 }
 
 // currentEntry returns a host's current entry in the list, which may change while an attempt is in progress.
