--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -74,12 +74,13 @@
 
 // execute writes a request to a connection and waits for its answer. The outcome of a failure depends on the request's
 // last byte: if the connection breaks before that is written, the request cannot have run; after it, it may have run.
-func (p *Pool) execute(ctx context.Context, h *host, c *conn, text []byte, planned string) gateway.Result {
+// dispatchID names the planned work that the request is for; it is empty for a client's request and for a probe.
+func (p *Pool) execute(ctx context.Context, h *host, c *conn, text []byte, dispatchID string) gateway.Result {
 	var pass *accord.Pass
 	if p.Gate != nil {
 		var refused error
 		entry := p.currentEntry(h)
-		if pass, refused = p.Gate.Begin(entry.Name, entry.StartedUnixMs, planned, c.abort); refused != nil {
+		if pass, refused = p.Gate.Begin(entry.Name, entry.StartedUnixMs, dispatchID, c.abort); refused != nil {
 			p.putIdle(h, c)
 			return gateway.Result{Outcome: logic.NotSent, NoLease: errors.Is(refused, accord.ErrNoLease)}
 		}
--- a/internal/servers/pool.go
+++ b/internal/servers/pool.go
@@ -28,7 +28,9 @@
 
 // Pool holds the connections to all servers. Its methods are safe for concurrent use.
 type Pool struct {
-	Gate *accord.Gate // checked by every attempt right before its bytes go out; nil: no check. Set it before the first attempt
+	// Gate checks every attempt, right before its bytes go out, against the agreed rules (the replicated configuration)
+	// and this node's read lease on them. Nil means no check. It has to be set before the first attempt.
+	Gate *accord.Gate
 
 	limits     config.Limits
 	counters   *metrics.Registry
@@ -55,7 +57,8 @@
 func New(limits config.Limits, counters *metrics.Registry) *Pool {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{limits: limits, counters: counters, ctx: ctx, stop: stop, hosts: map[logic.ServerID]*host{},
-		cancelledAt: map[logic.BuildID]time.Time{}, keyBuilds: map[uint64]keyBuild{}, bodyBudget: &memoryBudget{available: limits.LongAnswerBudget}}
+		cancelledAt: map[logic.BuildID]time.Time{}, keyBuilds: map[uint64]keyBuild{},
+		bodyBudget: &memoryBudget{available: limits.LongAnswerBudget}}
 	p.work.Go(p.expireLoop)
 	return p
 }
