--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	first = 100 * time.Millisecond // pause after a first failure, where calls cost a shared service nothing
-	last  = 2 * time.Second        // the longest there
+	agentFirstPause = 100 * time.Millisecond // pause after a first failure, where calls cost a shared service nothing
+	agentMaxPause   = 2 * time.Second        // the longest there
 
-	graceParts = 4 // the longest pause is so small a part of a drain's grace
+	drainGraceDivisor = 4 // the longest pause is so small a part of a drain's grace
 
-	askedPart = 0.8             // of the time in which every router has to ask: the rest is for the answer
-	moved     = 3 * time.Second // the window at a move: changes count as told 4 s after it, heard or not
-	widest    = 2.0             // of the time in which every router has to ask; after a failure four times it is granted
-	golden    = 0.6180339887498949
+	windowShare         = 0.8             // of the time in which every router has to ask: the rest is for the answer
+	moveWindow          = 3 * time.Second // the window at a move: changes count as told 4 s after it, heard or not
+	maxWindowFactor     = 2.0             // of the time in which every router has to ask; after a failure four times it is granted
+	goldenRatioFraction = 0.6180339887498949
 )
 
 // Rule tells how the calls of one router are spaced.
@@ -42,66 +42,70 @@
 	if !s.AskDiscovery || s.AskWithin <= 0 || s.Peers <= 1 {
 		// Danger: what the agent gets when discovery is back counts as told at once; a pause as long as the grace of a
 		// drain would hear of it when that is over. The agent answers at no cost.
-		rule := Policy{FirstPause: first, MaxPause: last, Seed: seed}
-		if part := s.DrainGrace / graceParts; part > 0 {
-			rule.FirstPause, rule.MaxPause = min(first, part), min(last, part)
+		policy := Policy{FirstPause: agentFirstPause, MaxPause: agentMaxPause, Seed: seed}
+		if graceShare := s.DrainGrace / drainGraceDivisor; graceShare > 0 {
+			policy.FirstPause, policy.MaxPause = min(agentFirstPause, graceShare), min(agentMaxPause, graceShare)
 		}
-		return rule
+		return policy
 	}
 	// Multiples of the golden section leave no part of the window crowded, whichever routers happen to call.
-	_, place := math.Modf(float64(s.Self) * golden)
-	window := time.Duration(askedPart * float64(s.AskWithin))
-	return Policy{Window: window, MoveWindow: min(window, moved), MaxWindow: time.Duration(widest * float64(s.AskWithin)),
-		Slot: place, Seed: seed}
+	_, slot := math.Modf(float64(s.Self) * goldenRatioFraction)
+	window := time.Duration(windowShare * float64(s.AskWithin))
+	return Policy{Window: window, MoveWindow: min(window, moveWindow), MaxWindow: time.Duration(maxWindowFactor * float64(s.AskWithin)),
+		Slot: slot, Seed: seed}
 }
 
 // OfPlatform is the rule for connections to the release platform.
-func ForPlatform(seed uint64) Policy { return Policy{FirstPause: first, MaxPause: last, Seed: seed} }
+func ForPlatform(seed uint64) Policy {
+	return Policy{FirstPause: agentFirstPause, MaxPause: agentMaxPause, Seed: seed}
+}
 
 // Pace spaces one router's calls at one address. It is not safe for use by several goroutines.
 type Pacer struct {
-	rule  Policy
-	rng   *rand.Rand
-	begin time.Duration // the window of the first call
-	fails int           // in a row
+	policy        Policy
+	rng           *rand.Rand
+	initialWindow time.Duration // the window of the first call
+	failures      int           // in a row
 }
 
 // New begins at an address; moved tells that another one was followed before.
-func New(rule Policy, moved bool) *Pacer {
-	p := &Pacer{rule: rule, rng: rand.New(rand.NewPCG(rule.Seed, rule.Seed>>32)), begin: rule.Window}
+func New(policy Policy, moved bool) *Pacer {
+	p := &Pacer{policy: policy, rng: rand.New(rand.NewPCG(policy.Seed, policy.Seed>>32)), initialWindow: policy.Window}
 	if moved {
-		p.begin = rule.MoveWindow
+		p.initialWindow = policy.MoveWindow
 	}
 	return p
 }
 
 // Begin is the pause before the first call: the router's own place in the window.
-func (p *Pacer) InitialDelay() time.Duration { return time.Duration(p.rule.Slot * float64(p.begin)) }
+func (p *Pacer) InitialDelay() time.Duration {
+	return time.Duration(p.policy.Slot * float64(p.initialWindow))
+}
 
 // Failed notes that a call failed, or that what it had opened broke, and tells the pause before the next one, and
 // whether this is the first failure in a row. Danger: calls that fail together come again together; a call that a
 // service had no time for costs it as much as one that it answers, and so none may ever be answered again.
 func (p *Pacer) RecordFailure() (pause time.Duration, isFirst bool) {
-	grown := func(from, to time.Duration) time.Duration {
-		return min(from<<min(p.fails, 16), to)
+	double := func(initial, limit time.Duration) time.Duration {
+		return min(initial<<min(p.failures, 16), limit)
 	}
-	if isFirst = p.fails == 0; p.rule.Window > 0 {
-		pause = p.part(grown(p.rule.Window, p.rule.MaxWindow))
+	if isFirst = p.failures == 0; p.policy.Window > 0 {
+		pause = p.randomShare(double(p.policy.Window, p.policy.MaxWindow))
 	} else {
-		half := grown(p.rule.FirstPause, p.rule.MaxPause) / 2
-		pause = half + p.part(half)
+		half := double(p.policy.FirstPause, p.policy.MaxPause) / 2
+		pause = half + p.randomShare(half)
 	}
-	p.fails++
+	p.failures++
 	return pause, isFirst
 }
 
 // Succeeded ends a row of failures, and tells whether there was one.
 func (p *Pacer) RecordSuccess() (wasFailing bool) {
-	wasFailing, p.fails = p.fails > 0, 0
+	wasFailing, p.failures = p.failures > 0, 0
 	return wasFailing
 }
 
 // part draws a part of d.
-func (p *Pacer) part(d time.Duration) time.Duration {
+func (p *Pacer) randomShare(d time.Duration) time.Duration {
 	return time.Duration(p.rng.Float64() * float64(d))
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -46,19 +46,19 @@
 
 // Bound is D: no dispatcher starts an attempt under a version older than the newest agreed one later than this after
 // that one was agreed, in true time. A dispatcher whose clock is slow counts its lease long.
-func (t Terms) StalenessBound() time.Duration { return t.bound(t.Length) }
+func (t Terms) StalenessBound() time.Duration { return t.stalenessBound(t.Length) }
 
 // BoundOf is D for a dispatcher that was granted a lease of another length.
-func (t Terms) StalenessBoundFor(length time.Duration) time.Duration { return t.bound(length) }
+func (t Terms) StalenessBoundFor(length time.Duration) time.Duration { return t.stalenessBound(length) }
 
-func (t Terms) bound(length time.Duration) time.Duration {
+func (t Terms) stalenessBound(length time.Duration) time.Duration {
 	return time.Duration(float64(length)/(1-t.Drift)) + t.Send
 }
 
 // Wait is how long a registrar waits, on its own clock, from hearing an asking until the lease that it may have given
 // rise to is over for certain. A registrar whose clock is fast counts true time short.
 func (t Terms) ExpiryWait(length time.Duration) time.Duration {
-	return time.Duration(float64(t.bound(length)) * (1 + t.Drift))
+	return time.Duration(float64(t.stalenessBound(length)) * (1 + t.Drift))
 }
 
 // Mode is what a dispatcher does without a lease.
@@ -96,18 +96,18 @@
 
 // Granted notes a lease on a version, counted from when its asking was sent. A lease on a version that was not taken
 // in is worth nothing, and answers that come in another order never shorten what stands.
-func (h *Holder) RecordGrant(asked time.Duration, version uint64, length time.Duration) bool {
+func (h *Holder) RecordGrant(sentAt time.Duration, version uint64, length time.Duration) bool {
 	if version == 0 || version > h.version || length <= 0 {
 		return false
 	}
-	if until := asked + length; !h.granted || until > h.until {
+	if until := sentAt + length; !h.granted || until > h.until {
 		h.granted, h.until = true, until
 	}
 	return true
 }
 
 // Stands tells whether a lease stands, and for how long yet.
-func (h *Holder) Remaining(now time.Duration) (left time.Duration, ok bool) {
+func (h *Holder) Remaining(now time.Duration) (remaining time.Duration, ok bool) {
 	return h.until - now, h.granted && now < h.until
 }
 
@@ -117,9 +117,9 @@
 // Conduct is what may be done now. A process that was granted no lease yet does nothing in either mode, whatever it has
 // heard of the rules: what it held in an earlier life may have been replaced, and a cordon may be confirmed without it.
 func (h *Holder) Permission(now time.Duration) Permission {
-	_, stands := h.Remaining(now)
+	_, hasLease := h.Remaining(now)
 	switch {
-	case stands:
+	case hasLease:
 		return Full
 	case h.Mode == Serve && h.granted:
 		return Stale
@@ -142,48 +142,48 @@
 // waits until there is room.
 const MaxFormerIncarnations = 16
 
-type seen struct {
-	at    time.Duration // an asking was last heard
-	over  time.Duration // no lease that it was granted stands from then on
-	holds uint64
-	heard bool // by this leader
+type incarnationState struct {
+	lastBeat time.Duration // an asking was last heard
+	lapsesAt time.Duration // no lease that it was granted stands from then on
+	version  uint64
+	reported bool // by this leader
 }
 
-type lifeKey struct {
-	name string
-	life uint64
+type incarnationKey struct {
+	name        string
+	incarnation uint64
 }
 
 // Roll is a leader's side: what it has heard from each life of each dispatcher since it began to lead. It lives and dies
 // with one term of leadership.
 type Tracker struct {
-	terms Terms
-	begun time.Duration
-	seen  map[lifeKey]*seen
+	terms     Terms
+	startedAt time.Duration
+	states    map[incarnationKey]*incarnationState
 }
 
 // NewRoll begins a term of leadership. Danger: an earlier leader may have granted leases that this one never heard of;
 // until the longest of them is over, none counts as lapsed.
 func NewTracker(terms Terms, now time.Duration) *Tracker {
-	return &Tracker{terms: terms, begun: now, seen: map[lifeKey]*seen{}}
+	return &Tracker{terms: terms, startedAt: now, states: map[incarnationKey]*incarnationState{}}
 }
 
-func (r *Tracker) of(name string, life uint64) *seen {
-	k := lifeKey{name, life}
-	s := r.seen[k]
+func (r *Tracker) stateOf(name string, incarnation uint64) *incarnationState {
+	key := incarnationKey{name, incarnation}
+	s := r.states[key]
 	if s == nil {
-		s = &seen{at: r.begun, over: r.begun + r.terms.ExpiryWait(r.terms.Longest)}
-		r.seen[k] = s
+		s = &incarnationState{lastBeat: r.startedAt, lapsesAt: r.startedAt + r.terms.ExpiryWait(r.terms.Longest)}
+		r.states[key] = s
 	}
 	return s
 }
 
 // Asked notes an asking that was heard now, and what its sender had taken in by then; length is the longest lease that
 // may be granted for it. It has to be called before anything is granted.
-func (r *Tracker) RecordBeat(now time.Duration, name string, life, holds uint64, length time.Duration) {
-	s := r.of(name, life)
-	s.at, s.over = now, max(s.over, now+r.terms.ExpiryWait(length))
-	s.holds, s.heard = max(s.holds, holds), true
+func (r *Tracker) RecordBeat(now time.Duration, name string, incarnation, version uint64, length time.Duration) {
+	s := r.stateOf(name, incarnation)
+	s.lastBeat, s.lapsesAt = now, max(s.lapsesAt, now+r.terms.ExpiryWait(length))
+	s.version, s.reported = max(s.version, version), true
 }
 
 // Missing is a life of a dispatcher that may yet act on an older version.
@@ -200,16 +200,16 @@
 	var out []Straggler
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		m := members[name]
-		for _, life := range append(slices.Clone(m.FormerIncarnations), m.Incarnation) {
-			s := r.of(name, life)
-			if s.holds >= version {
+		for _, incarnation := range append(slices.Clone(m.FormerIncarnations), m.Incarnation) {
+			s := r.stateOf(name, incarnation)
+			if s.version >= version {
 				continue
 			}
-			left := s.over - now
+			remaining := s.lapsesAt - now
 			// Danger: who serves on without a lease acts on what it last heard for as long as it is cut off.
-			never := m.Mode == Serve && life == m.Incarnation
-			if never || left > 0 {
-				out = append(out, Straggler{Name: name, Incarnation: life, Version: s.holds, Remaining: left, NeverLapses: never})
+			neverLapses := m.Mode == Serve && incarnation == m.Incarnation
+			if neverLapses || remaining > 0 {
+				out = append(out, Straggler{Name: name, Incarnation: incarnation, Version: s.version, Remaining: remaining, NeverLapses: neverLapses})
 			}
 		}
 	}
@@ -220,9 +220,9 @@
 func (r *Tracker) LapsedIncarnations(now time.Duration, members map[string]Member) map[string][]uint64 {
 	out := map[string][]uint64{}
 	for name, m := range members {
-		for _, life := range m.FormerIncarnations {
-			if r.of(name, life).over <= now {
-				out[name] = append(out[name], life)
+		for _, incarnation := range m.FormerIncarnations {
+			if r.stateOf(name, incarnation).lapsesAt <= now {
+				out[name] = append(out[name], incarnation)
 			}
 		}
 	}
@@ -230,33 +230,33 @@
 }
 
 // Over tells whether no lease of a life stands for certain.
-func (r *Tracker) HasLapsed(now time.Duration, name string, life uint64) bool {
-	return r.of(name, life).over <= now
+func (r *Tracker) HasLapsed(now time.Duration, name string, incarnation uint64) bool {
+	return r.stateOf(name, incarnation).lapsesAt <= now
 }
 
 // Heard tells when a life was last heard of by this leader, and what it holds.
-func (r *Tracker) LastBeat(name string, life uint64) (at time.Duration, holds uint64, ok bool) {
-	s := r.seen[lifeKey{name, life}]
-	if s == nil || !s.heard {
+func (r *Tracker) LastBeat(name string, incarnation uint64) (at time.Duration, version uint64, ok bool) {
+	s := r.states[incarnationKey{name, incarnation}]
+	if s == nil || !s.reported {
 		return 0, 0, false
 	}
-	return s.at, s.holds, true
+	return s.lastBeat, s.version, true
 }
 
 // Agreed is how far a leader's wall clock is off from what it and the dispatchers have together: the median, so that one
 // that was set wrong, its own too, moves nothing. Leases do not go by it; expiries of cordons do not either.
-func MedianOffset(off []time.Duration) time.Duration {
-	all := append(slices.Clone(off), 0)
+func MedianOffset(offsets []time.Duration) time.Duration {
+	all := append(slices.Clone(offsets), 0)
 	slices.Sort(all)
 	return all[len(all)/2]
 }
 
 // Clone is a copy that goes its own way.
 func (r *Tracker) Clone() *Tracker {
-	c := &Tracker{terms: r.terms, begun: r.begun, seen: make(map[lifeKey]*seen, len(r.seen))}
-	for k, s := range r.seen {
-		x := *s
-		c.seen[k] = &x
+	clone := &Tracker{terms: r.terms, startedAt: r.startedAt, states: make(map[incarnationKey]*incarnationState, len(r.states))}
+	for k, s := range r.states {
+		copied := *s
+		clone.states[k] = &copied
 	}
-	return c
+	return clone
 }
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -113,8 +113,8 @@
 
 // Replace puts a registrar in, or in the place of one that bore its name; with an empty address it takes it out.
 func (s *State) ReplaceRegistrar(name string, r Registrar) {
-	if was, ok := s.Registrars[name]; ok && was.ID != r.ID {
-		s.FormerRegistrarIDs = append(slices.Clone(s.FormerRegistrarIDs), was.ID)
+	if old, ok := s.Registrars[name]; ok && old.ID != r.ID {
+		s.FormerRegistrarIDs = append(slices.Clone(s.FormerRegistrarIDs), old.ID)
 	}
 	next := maps.Clone(s.Registrars)
 	if next == nil {
@@ -167,15 +167,15 @@
 	if s.Book.Document.Head.Version != before {
 		step := s.Book.Last()
 		r.Step = &step
-		s.follow()
+		s.syncCordons()
 	}
 	return r
 }
 
 func (s *State) apply(e Entry, term uint64) Result {
 	// An operator's asking, a dispatcher's enrolment are judged here, on the record alone, whoever passed them on.
-	judged := e.Activate != nil || e.Confirm != nil || e.Forget != nil || e.Elapsed != nil || e.Claim != nil || e.Reclaim != nil || e.Drop != nil
-	if judged && e.Term != term {
+	needsSameTerm := e.Activate != nil || e.Confirm != nil || e.Forget != nil || e.Elapsed != nil || e.Claim != nil || e.Reclaim != nil || e.Drop != nil
+	if needsSameTerm && e.Term != term {
 		return Result{Refused: fmt.Sprintf("judged in term %d, agreed in term %d", e.Term, term)}
 	}
 	switch {
@@ -189,7 +189,7 @@
 			return Result{Refused: err.Error()}
 		}
 	case e.Confirm != nil:
-		if v, ok := s.CordonVersions[e.Confirm.Cordon]; !ok || v != e.Confirm.Version || s.lifting(e.Confirm.Cordon) {
+		if v, ok := s.CordonVersions[e.Confirm.Cordon]; !ok || v != e.Confirm.Version || s.isLifting(e.Confirm.Cordon) {
 			return Result{Refused: "no such cordon stands"}
 		}
 		if _, ok := s.Confirmed[e.Confirm.Cordon]; !ok {
@@ -201,14 +201,14 @@
 		}
 	case e.Observed != nil:
 		for _, name := range slices.Sorted(maps.Keys(e.Observed.States)) {
-			s.Contacts.Observe(e.At, name, e.Observed.States[name], s.calendar(name))
+			s.Contacts.Observe(e.At, name, e.Observed.States[name], s.plannedOutages(name))
 		}
 	case e.Claim != nil || e.Outcome != nil || e.Reclaim != nil || e.Drop != nil:
-		return s.work(e)
+		return s.applyDispatch(e)
 	case e.Forget != nil:
-		for name, lives := range e.Forget.Incarnations {
+		for name, incarnations := range e.Forget.Incarnations {
 			if m, ok := s.Members[name]; ok {
-				m.FormerIncarnations = slices.DeleteFunc(slices.Clone(m.FormerIncarnations), func(l uint64) bool { return slices.Contains(lives, l) })
+				m.FormerIncarnations = slices.DeleteFunc(slices.Clone(m.FormerIncarnations), func(l uint64) bool { return slices.Contains(incarnations, l) })
 				if s.Members[name] = m; m.Incarnation == 0 && len(m.FormerIncarnations) == 0 { // retired, and over
 					delete(s.Members, name)
 				}
@@ -265,14 +265,14 @@
 }
 
 // lifting tells whether a cordon's lifting is agreed and waits.
-func (s *State) lifting(id string) bool {
+func (s *State) isLifting(id string) bool {
 	return slices.ContainsFunc(s.Book.Document.Waiting, func(w ruleset.Waiting) bool {
 		return w.Change.Kind == ruleset.KindLift && w.Change.Name == id
 	})
 }
 
 // follow keeps what is known of cordons in step with the rules.
-func (s *State) follow() {
+func (s *State) syncCordons() {
 	d := &s.Book.Document
 	for id := range s.CordonVersions {
 		if _, ok := d.Rules.Cordons[id]; !ok {
@@ -282,11 +282,11 @@
 		}
 	}
 	for id := range s.Confirmed {
-		if s.lifting(id) {
+		if s.isLifting(id) {
 			delete(s.Confirmed, id)
 		}
 	}
-	s.tidyWork()
+	s.removeWithdrawn()
 	for id := range d.Rules.Cordons {
 		if _, ok := s.CordonVersions[id]; !ok {
 			s.CordonVersions[id] = d.Head.Version
@@ -331,7 +331,7 @@
 func (s *State) Cordons(w LeaderView) []CordonStatus {
 	var out []CordonStatus
 	for _, id := range slices.Sorted(maps.Keys(s.Book.Document.Rules.Cordons)) {
-		c := CordonStatus{ID: id, Order: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Reaching, Total: s.living()}
+		c := CordonStatus{ID: id, Order: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Reaching, Total: s.enrolledCount()}
 		c.Stragglers = w.Leases.Stragglers(w.Now, s.Members, c.Version)
 		c.Reached = c.Total
 		for _, m := range c.Stragglers {
@@ -339,10 +339,10 @@
 				c.Reached--
 			}
 		}
-		if k, ok := s.Confirmed[id]; ok {
-			c.State, c.Confirmed, c.Stragglers, c.Reached = cordon.Confirmed, &k, nil, c.Total
+		if confirmation, ok := s.Confirmed[id]; ok {
+			c.State, c.Confirmed, c.Stragglers, c.Reached = cordon.Confirmed, &confirmation, nil, c.Total
 		}
-		if s.lifting(id) {
+		if s.isLifting(id) {
 			c.State = cordon.Lifting
 		}
 		out = append(out, c)
@@ -351,7 +351,7 @@
 }
 
 // living counts the dispatchers that have a life.
-func (s *State) living() int {
+func (s *State) enrolledCount() int {
 	n := 0
 	for _, m := range s.Members {
 		if m.Incarnation != 0 {
@@ -362,7 +362,7 @@
 }
 
 // countEvery is how often time is counted towards the expiry of cordons: what a change of leaders may add to each.
-const countEvery = 2 * time.Second
+const elapsedInterval = 2 * time.Second
 
 // Due is what a leader asks the record to take in now, by what it has heard in its term.
 func (s *State) Due(w LeaderView) []Entry {
@@ -370,7 +370,7 @@
 	d := &s.Book.Document
 	for _, c := range s.Cordons(w) {
 		if c.State == cordon.Reaching && len(c.Stragglers) == 0 {
-			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.lapsed(w, c.Version)}})
+			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.dispatchersBehind(w, c.Version)}})
 		}
 	}
 	if v := s.Book.Ready(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
@@ -378,20 +378,20 @@
 	}) {
 		out = append(out, Entry{Activate: &Activate{Version: v}})
 	}
-	if lives := w.Leases.LapsedIncarnations(w.Now, s.Members); len(lives) > 0 {
-		out = append(out, Entry{Forget: &Forget{Incarnations: lives}})
+	if incarnations := w.Leases.LapsedIncarnations(w.Now, s.Members); len(incarnations) > 0 {
+		out = append(out, Entry{Forget: &Forget{Incarnations: incarnations}})
 	}
-	if len(s.RemainingMs) > 0 && w.Elapsed >= countEvery {
+	if len(s.RemainingMs) > 0 && w.Elapsed >= elapsedInterval {
 		out = append(out, Entry{Elapsed: &Elapsed{Ms: w.Elapsed.Milliseconds()}})
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.RemainingMs)) {
-		if s.RemainingMs[id] == 0 && !s.lifting(id) {
+		if s.RemainingMs[id] == 0 && !s.isLifting(id) {
 			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), Base: d.Head.Version,
 				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
 			break // the next one rests on the version that this makes
 		}
 	}
-	out = append(out, s.dueWork(w)...)
+	out = append(out, s.dueDispatchEntries(w)...)
 	for _, host := range w.AutoCordon.Suspects(w.Reports, d.Rules.Cordons) {
 		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
 			continue // it would be refused, again and again
@@ -405,11 +405,11 @@
 }
 
 // lapsed names the dispatchers that have not taken in a version, and may be passed over as their leases are over.
-func (s *State) lapsed(w LeaderView, version uint64) []string {
+func (s *State) dispatchersBehind(w LeaderView, version uint64) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		m := s.Members[name]
-		if _, holds, heard := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && (!heard || holds < version) {
+		if _, held, reported := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && (!reported || held < version) {
 			out = append(out, name)
 		}
 	}
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -69,7 +69,7 @@
 }
 
 // work carries out an entry on a dispatch.
-func (s *State) work(e Entry) Result {
+func (s *State) applyDispatch(e Entry) Result {
 	name := ""
 	switch {
 	case e.Claim != nil:
@@ -82,11 +82,11 @@
 		name = e.Drop.Dispatch
 	}
 	_, planned := s.Book.Document.Rules.Dispatches[name]
-	w, there := s.Dispatches[name]
-	if !there {
+	w, exists := s.Dispatches[name]
+	if !exists {
 		w.Progress = Free
 	}
-	over := w.Progress == Done || w.Progress == Dropped
+	isFinal := w.Progress == Done || w.Progress == Dropped
 	switch {
 	case e.Claim != nil:
 		if m, ok := s.Members[e.Claim.Name]; !planned || w.Progress != Free || !ok || m.Incarnation != e.Claim.Incarnation || e.Claim.Incarnation == 0 {
@@ -95,7 +95,7 @@
 		s.LastFence++
 		w.Progress, w.Owner, w.Incarnation, w.Fence, w.LastTriedMs = Claimed, e.Claim.Name, e.Claim.Incarnation, s.LastFence, e.At
 	case e.Outcome != nil && e.Outcome.Done:
-		if !there { // it was withdrawn meanwhile
+		if !exists { // it was withdrawn meanwhile
 			return Result{Refused: "no such dispatch"}
 		}
 		w.Progress, w.Reason = Done, "" // the receiver has it, whoever sent it
@@ -110,19 +110,19 @@
 		}
 		w.Progress, w.Failures = Free, w.Failures+1
 	default:
-		if !planned || w.Progress == Claimed || over {
+		if !planned || w.Progress == Claimed || isFinal {
 			return Result{Refused: "not to be given up"}
 		}
 		w.Progress, w.Reason = Dropped, e.Drop.Reason
 	}
 	w.ChangedMs = e.At
 	s.Dispatches[name] = w
-	s.tidyWork()
+	s.removeWithdrawn()
 	return Result{}
 }
 
 // tidyWork forgets dispatches that were withdrawn, unless their owner may be sending them yet.
-func (s *State) tidyWork() {
+func (s *State) removeWithdrawn() {
 	maps.DeleteFunc(s.Dispatches, func(name string, w DispatchState) bool {
 		_, planned := s.Book.Document.Rules.Dispatches[name]
 		return !planned && w.Progress != Claimed
@@ -130,7 +130,7 @@
 }
 
 // calendar is what operators know of a site.
-func (s *State) calendar(site string) []contact.Span {
+func (s *State) plannedOutages(site string) []contact.Span {
 	var out []contact.Span
 	for _, o := range s.Book.Document.Rules.Sites[site].Outages {
 		out = append(out, contact.Span{From: o.From, Until: o.Until})
@@ -139,23 +139,23 @@
 }
 
 // place is a site as plans see it.
-type place struct {
-	s    *State
-	name string
-	now  int64
+type siteForecast struct {
+	state *State
+	name  string
+	now   int64
 }
 
-func (p place) Up(at int64) (float64, bool) {
-	f := p.s.Contacts.Forecast(p.now, at, p.name, p.s.calendar(p.name))
+func (p siteForecast) Up(at int64) (float64, bool) {
+	f := p.state.Contacts.Forecast(p.now, at, p.name, p.state.plannedOutages(p.name))
 	return f.Up, f.Known
 }
 
-func (p place) Lasts(at int64, d time.Duration) float64 {
-	return p.s.Contacts.Lasts(p.now, at, p.name, d)
+func (p siteForecast) Lasts(at int64, d time.Duration) float64 {
+	return p.state.Contacts.Lasts(p.now, at, p.name, d)
 }
 
-func (p place) Reached() (bool, int64, int64) {
-	x := p.s.Contacts.Sites[p.name]
+func (p siteForecast) Reached() (bool, int64, int64) {
+	x := p.state.Contacts.Sites[p.name]
 	if x == nil {
 		return false, 0, -1
 	}
@@ -163,28 +163,28 @@
 }
 
 // seenEvery is how often what is met at a site is written down where it stays as it is.
-const seenEvery = time.Minute
+const observationInterval = time.Minute
 
 // dueWork is what is due of sites and of planned work.
-func (s *State) dueWork(w LeaderView) []Entry {
+func (s *State) dueDispatchEntries(w LeaderView) []Entry {
 	var out []Entry
-	met := map[string]contact.State{}
+	observed := map[string]contact.State{}
 	for site, state := range w.SiteStates {
-		if x := s.Contacts.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.UnixMs-x.Seen >= seenEvery.Milliseconds()) {
-			met[site] = state
+		if x := s.Contacts.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.UnixMs-x.Seen >= observationInterval.Milliseconds()) {
+			observed[site] = state
 		}
 	}
-	if len(met) > 0 {
-		out = append(out, Entry{Observed: &Observed{States: met}})
+	if len(observed) > 0 {
+		out = append(out, Entry{Observed: &Observed{States: observed}})
 	}
 	var jobs []schedule.Job
-	busy := map[string]int{}
+	claims := map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(s.Dispatches)) {
 		if x := s.Dispatches[name]; x.Progress == Claimed {
 			if w.Leases.HasLapsed(w.Now, x.Owner, x.Incarnation) {
 				out = append(out, Entry{Reclaim: &Reclaim{Dispatch: name, Fence: x.Fence}})
 			}
-			busy[x.Owner]++
+			claims[x.Owner]++
 		}
 	}
 	for name, d := range s.Book.Document.Rules.Dispatches {
@@ -198,14 +198,14 @@
 	if len(jobs) == 0 {
 		return out
 	}
-	steps := w.Schedule.Plan(w.UnixMs, jobs, func(site string) schedule.Site { return place{s, site, w.UnixMs} })
+	steps := w.Schedule.Plan(w.UnixMs, jobs, func(site string) schedule.Site { return siteForecast{s, site, w.UnixMs} })
 	for _, step := range steps {
 		switch step.Verdict {
 		case schedule.GiveUp:
 			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Reason: step.Why}})
 		case schedule.Try:
-			if name := s.owner(w, step.Job, busy); name != "" {
-				busy[name]++
+			if name := s.chooseOwner(w, step.Job, claims); name != "" {
+				claims[name]++
 				out = append(out, Entry{Claim: &Claim{Dispatch: step.Job, Name: name, Incarnation: s.Members[name].Incarnation}})
 			}
 		}
@@ -215,42 +215,42 @@
 
 // owner picks the dispatcher for a try: one that is heard and holds the present version, at the site itself where there
 // is one, with the fewest claims; after a failure another one.
-func (s *State) owner(w LeaderView, dispatch string, busy map[string]int) string {
+func (s *State) chooseOwner(w LeaderView, dispatch string, claims map[string]int) string {
 	d := s.Book.Document.Rules.Dispatches[dispatch]
-	var fit []string
+	var candidates []string
 	for name, m := range s.Members {
-		if _, holds, heard := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && heard && holds == s.Book.Document.Head.Version && !w.Leases.HasLapsed(w.Now, name, m.Incarnation) {
-			fit = append(fit, name)
+		if _, held, reported := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && reported && held == s.Book.Document.Head.Version && !w.Leases.HasLapsed(w.Now, name, m.Incarnation) {
+			candidates = append(candidates, name)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	last := s.Dispatches[dispatch].Owner
-	rank := func(name string) (away, again int, h uint64) {
-		f := fnv.New64a()
-		f.Write([]byte(name + " " + dispatch))
+	lastOwner := s.Dispatches[dispatch].Owner
+	rank := func(name string) (offSite, repeated int, hash uint64) {
+		hasher := fnv.New64a()
+		hasher.Write([]byte(name + " " + dispatch))
 		if s.Members[name].Site != d.Site {
-			away = 1
+			offSite = 1
 		}
-		if name == last {
-			again = 1
+		if name == lastOwner {
+			repeated = 1
 		}
-		return away, again, f.Sum64()
+		return offSite, repeated, hasher.Sum64()
 	}
-	return slices.MinFunc(fit, func(a, b string) int {
-		awayA, againA, hashA := rank(a)
-		awayB, againB, hashB := rank(b)
-		return cmp.Or(cmp.Compare(againA, againB), cmp.Compare(awayA, awayB), cmp.Compare(busy[a], busy[b]), cmp.Compare(hashA, hashB))
+	return slices.MinFunc(candidates, func(a, b string) int {
+		offSiteA, repeatedA, hashA := rank(a)
+		offSiteB, repeatedB, hashB := rank(b)
+		return cmp.Or(cmp.Compare(repeatedA, repeatedB), cmp.Compare(offSiteA, offSiteB), cmp.Compare(claims[a], claims[b]), cmp.Compare(hashA, hashB))
 	})
 }
 
 // Tasks are the claims of one life of a dispatcher, in order of their names.
-func (s *State) Tasks(name string, life uint64) []Task {
+func (s *State) Tasks(name string, incarnation uint64) []Task {
 	var out []Task
 	for _, d := range slices.Sorted(maps.Keys(s.Dispatches)) {
 		x := s.Dispatches[d]
-		if plan, ok := s.Book.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == life {
+		if plan, ok := s.Book.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == incarnation {
 			out = append(out, Task{Dispatch: d, Fence: x.Fence, Work: plan})
 		}
 	}
@@ -277,7 +277,7 @@
 func (s *State) SiteStatuses(now int64) map[string]SiteStatus {
 	out := map[string]SiteStatus{}
 	for name, x := range s.Contacts.Sites {
-		f := s.Contacts.Forecast(now, now+time.Hour.Milliseconds(), name, s.calendar(name))
+		f := s.Contacts.Forecast(now, now+time.Hour.Milliseconds(), name, s.plannedOutages(name))
 		r := SiteStatus{State: "up", SinceMs: x.Since, LastSeenMs: x.Seen, HasForecast: f.Known, UpInAnHour: f.Up}
 		if x.State == contact.Down {
 			r.State = "down"
@@ -294,20 +294,20 @@
 	if t.Longest <= t.Length || site == "" {
 		return t.Length
 	}
-	soon := now + t.Longest.Milliseconds()
-	for _, o := range s.calendar(site) {
-		if o.From <= soon && now < o.Until {
+	horizon := now + t.Longest.Milliseconds()
+	for _, o := range s.plannedOutages(site) {
+		if o.From <= horizon && now < o.Until {
 			return t.Longest
 		}
 	}
-	if f := s.Contacts.Forecast(now, soon, site, nil); f.Known && f.Up < aboutToGo {
+	if f := s.Contacts.Forecast(now, horizon, site, nil); f.Known && f.Up < cutOffThreshold {
 		return t.Longest
 	}
 	return t.Length
 }
 
 // aboutToGo is the chance to be reached under which a site counts as about to be cut off.
-const aboutToGo = 0.5
+const cutOffThreshold = 0.5
 
 // Bounds is D for the sites whose dispatchers get longer leases now.
 func (s *State) StalenessBounds(t lease.Terms, now int64) map[string]time.Duration {
--- a/internal/decide/usage/state.go
+++ b/internal/decide/usage/state.go
@@ -44,7 +44,7 @@
 
 // Restore replaces the book's content by a state.
 func (b *Book) Restore(s State) {
-	b.open, b.pages, b.keys = s.Open, map[Period]*page{}, map[string]Note{}
+	b.open, b.pages, b.corrections = s.Open, map[Period]*page{}, map[string]Note{}
 	for _, ps := range s.Pages {
 		p := &page{sums: map[Account]Sum{}, notes: slices.Clone(ps.Notes)}
 		for _, l := range ps.Lines {
@@ -52,7 +52,7 @@
 		}
 		for _, n := range ps.Notes {
 			if n.Key != lateKey {
-				b.keys[n.Key] = n
+				b.corrections[n.Key] = n
 			}
 		}
 		b.pages[ps.Period] = p
--- a/internal/decide/usage/usage.go
+++ b/internal/decide/usage/usage.go
@@ -23,7 +23,7 @@
 	Served Outcome = iota
 	Refused
 	Failed
-	outcomes
+	outcomeCount
 )
 
 // Other is the name under which what no setting names is counted. Danger: names come from clients; each would
@@ -77,7 +77,7 @@
 	Worth              int64 // millionths
 }
 
-func (s Sum) plus(t Sum) Sum {
+func (s Sum) add(t Sum) Sum {
 	return Sum{s.Requests + t.Requests, s.Attempts + t.Attempts, s.Work + t.Work, s.Worth + t.Worth}
 }
 
@@ -103,12 +103,12 @@
 
 // Book is one instance's accounts.
 type Book struct {
-	s       Settings
-	tenants map[string]bool
-	classes map[string]bool
-	open    Period // the oldest open period: all before it are closed
-	pages   map[Period]*page
-	keys    map[string]Note // corrections by key
+	settings    Settings
+	tenants     map[string]bool
+	classes     map[string]bool
+	open        Period // the oldest open period: all before it are closed
+	pages       map[Period]*page
+	corrections map[string]Note // corrections by key
 }
 
 // Errors of corrections.
@@ -123,8 +123,8 @@
 	if s.Period <= 0 || s.Grace < 0 {
 		return nil, fmt.Errorf("accounts: period %v and grace %v: need more than 0, and 0 or more", s.Period, s.Grace)
 	}
-	b := &Book{s: s, tenants: map[string]bool{}, classes: map[string]bool{}, open: s.PeriodAt(now.Add(-s.Grace)),
-		pages: map[Period]*page{}, keys: map[string]Note{}}
+	b := &Book{settings: s, tenants: map[string]bool{}, classes: map[string]bool{}, open: s.PeriodAt(now.Add(-s.Grace)),
+		pages: map[Period]*page{}, corrections: map[string]Note{}}
 	for _, t := range s.Tenants {
 		b.tenants[t] = true
 	}
@@ -141,7 +141,7 @@
 // steps back must not open a period again; what was closed stays so.
 func (b *Book) Close(now time.Time) []Period {
 	var closed []Period
-	due := b.s.PeriodAt(now.Add(-b.s.Grace))
+	due := b.settings.PeriodAt(now.Add(-b.settings.Grace))
 	for p := range b.pages {
 		if p >= b.open && p < due {
 			closed = append(closed, p)
@@ -153,14 +153,14 @@
 }
 
 // account folds names that no setting has. Two thousand unknown tenants are one line.
-func (b *Book) account(tenant, class string, o Outcome) Account {
+func (b *Book) accountFor(tenant, class string, o Outcome) Account {
 	if !b.tenants[tenant] {
 		tenant = Other
 	}
 	if !b.classes[class] {
 		class = Other
 	}
-	return Account{tenant, class, min(o, outcomes-1)}
+	return Account{tenant, class, min(o, outcomeCount-1)}
 }
 
 func (b *Book) page(p Period) *page {
@@ -173,11 +173,11 @@
 // Add counts a final answer in the period in which it was given, whenever the request came; where that has closed,
 // in the oldest open one, as late. It tells which period holds it.
 func (b *Book) Add(at time.Time, u Use) Period {
-	a := b.account(u.Tenant, u.Class, u.Outcome)
+	a := b.accountFor(u.Tenant, u.Class, u.Outcome)
 	sum := Sum{1, u.Attempts, u.Work, u.Worth}
-	p := b.s.PeriodAt(at)
+	p := b.settings.PeriodAt(at)
 	if p >= b.open {
-		b.page(p).sums[a] = b.page(p).sums[a].plus(sum)
+		b.page(p).sums[a] = b.page(p).sums[a].add(sum)
 		return p
 	}
 	in := b.page(b.open)
@@ -186,7 +186,7 @@
 		in.notes = append(in.notes, Note{Key: lateKey, For: p, In: b.open, Account: a, Reason: "answered in a closed period"})
 		i = len(in.notes) - 1
 	}
-	in.notes[i].Sum = in.notes[i].Sum.plus(sum)
+	in.notes[i].Sum = in.notes[i].Sum.add(sum)
 	return b.open
 }
 
@@ -197,18 +197,18 @@
 	if n.Key == "" || n.Key == lateKey || n.Reason == "" || n.Author == "" {
 		return Note{}, ErrIncompleteCorrection
 	}
-	if have, ok := b.keys[n.Key]; ok {
-		n.In = have.In
-		if have != n {
-			return have, ErrKeyReused
+	if existing, ok := b.corrections[n.Key]; ok {
+		n.In = existing.In
+		if existing != n {
+			return existing, ErrKeyReused
 		}
-		return have, nil
+		return existing, nil
 	}
-	if n.For > b.s.PeriodAt(now) && n.For > b.open {
+	if n.For > b.settings.PeriodAt(now) && n.For > b.open {
 		return Note{}, ErrFuturePeriod
 	}
 	n.In = max(n.For, b.open)
-	b.keys[n.Key] = n
+	b.corrections[n.Key] = n
 	in := b.page(n.In)
 	in.notes = append(in.notes, n)
 	return n, nil
@@ -245,7 +245,7 @@
 			}
 			st.Notes = append(st.Notes, n)
 			l := lines[n.Account]
-			l.Account, l.Corrected = n.Account, l.Corrected.plus(n.Sum)
+			l.Account, l.Corrected = n.Account, l.Corrected.add(n.Sum)
 			lines[n.Account] = l
 		}
 	}
