--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -1,8 +1,9 @@
-// Package backoff decides when a router calls anew a service that it follows: discovery or the platform. What one router
-// does at once is harmless; what hundreds do in the same moment, after a start, a restart of most or an outage, is a
-// storm that the service spends its time on and answers to nobody. So pauses double with each failure in a row and are
-// drawn at random (exponential back-off with jitter), and where one service takes the calls of the whole fleet, each
-// router has a place of its own in a window that is wide enough for one call from every router.
+// Package backoff decides when a router calls a service that it follows again: discovery or the release platform. One
+// router that calls at once does no harm. When hundreds call at the same moment, after a common start, a restart of most
+// of them or an outage, the service spends its time on the storm of calls and answers none. Therefore the pause doubles
+// with each consecutive failure and is drawn at random (exponential backoff with jitter). Where one service takes the
+// calls of the whole fleet, each router also has its own slot in a window that is wide enough for one call from every
+// router.
 package backoff
 
 import (
@@ -14,61 +15,61 @@
 )
 
 const (
-	agentFirstPause = 100 * time.Millisecond // pause after a first failure, where calls cost a shared service nothing
-	agentMaxPause   = 2 * time.Second        // the longest there
+	agentFirstPause = 100 * time.Millisecond // pause after the first failure of calls that reach no shared service
+	agentMaxPause   = 2 * time.Second        // longest pause for such calls
 
-	drainGraceDivisor = 4 // the longest pause is so small a part of a drain's grace
+	drainGraceDivisor = 4 // the longest pause is the drain grace divided by this
 
-	windowShare         = 0.8             // of the time in which every router has to ask: the rest is for the answer
-	moveWindow          = 3 * time.Second // the window at a move: changes count as told 4 s after it, heard or not
-	maxWindowFactor     = 2.0             // of the time in which every router has to ask; after a failure four times it is granted
+	windowShare         = 0.8             // part of AskWithin used for the window; the rest is for the answer
+	moveWindow          = 3 * time.Second // window after a move: 4 s after it, changes count as delivered whether they were received or not
+	maxWindowFactor     = 2.0             // widest window as a multiple of AskWithin; after a failure, four times AskWithin is granted
 	goldenRatioFraction = 0.6180339887498949
 )
 
-// Rule tells how the calls of one router are spaced.
+// Policy tells how the calls of one router are spaced in time.
 type Policy struct {
-	FirstPause, MaxPause time.Duration // the pauses after a first failure and after many; not used with a Window
-	Window               time.Duration // in which one call from every router finds room; zero: calls may come at once
-	MoveWindow           time.Duration // the same after a move to another address
-	MaxWindow            time.Duration // what the window grows to while calls fail
-	Slot                 float64       // this router's in the window, 0 to under 1
-	Seed                 uint64        // of the jitter
+	FirstPause, MaxPause time.Duration // pause after the first failure and longest pause; not used with a Window
+	Window               time.Duration // time for one call from every router; zero: the first call is made at once
+	MoveWindow           time.Duration // the window after a move to another address
+	MaxWindow            time.Duration // limit of the window's growth while calls fail
+	Slot                 float64       // this router's position in the window, from 0 to under 1
+	Seed                 uint64        // seed of the jitter
 }
 
-// OfDiscovery is the rule for calls at discovery. Where it has to be asked (Settings.AskDiscovery) it is one service of
-// fixed capacity for all routers, and the settings tell in what time each has to ask (AskWithin); else an agent of the
-// router's own answers, and nothing is shared.
+// ForDiscovery returns the policy for calls to discovery. Where routers have to ask it (Settings.AskDiscovery), it is one
+// service of fixed capacity for all routers, and AskWithin is the time in which each of them has to ask. Otherwise an
+// agent of the router's own answers, and no service is shared.
 func ForDiscovery(s logic.Settings, seed uint64) Policy {
 	if !s.AskDiscovery || s.AskWithin <= 0 || s.Peers <= 1 {
-		// Danger: what the agent gets when discovery is back counts as told at once; a pause as long as the grace of a
-		// drain would hear of it when that is over. The agent answers at no cost.
+		// What the agent receives when discovery is back counts as delivered at once. A pause as long as the drain grace
+		// would end only after that grace. Calls to the agent cost nothing, so short pauses do no harm.
 		policy := Policy{FirstPause: agentFirstPause, MaxPause: agentMaxPause, Seed: seed}
 		if graceShare := s.DrainGrace / drainGraceDivisor; graceShare > 0 {
 			policy.FirstPause, policy.MaxPause = min(agentFirstPause, graceShare), min(agentMaxPause, graceShare)
 		}
 		return policy
 	}
-	// Multiples of the golden section leave no part of the window crowded, whichever routers happen to call.
+	// Multiples of the golden ratio spread the slots evenly over the window for any subset of the routers.
 	_, slot := math.Modf(float64(s.Self) * goldenRatioFraction)
 	window := time.Duration(windowShare * float64(s.AskWithin))
 	return Policy{Window: window, MoveWindow: min(window, moveWindow), MaxWindow: time.Duration(maxWindowFactor * float64(s.AskWithin)),
 		Slot: slot, Seed: seed}
 }
 
-// OfPlatform is the rule for connections to the release platform.
+// ForPlatform returns the policy for connections to the release platform.
 func ForPlatform(seed uint64) Policy {
 	return Policy{FirstPause: agentFirstPause, MaxPause: agentMaxPause, Seed: seed}
 }
 
-// Pace spaces one router's calls at one address. It is not safe for use by several goroutines.
+// Pacer spaces one router's calls to one address. It is not safe for concurrent use.
 type Pacer struct {
 	policy        Policy
 	rng           *rand.Rand
-	initialWindow time.Duration // the window of the first call
-	failures      int           // in a row
+	initialWindow time.Duration // window of the first call
+	failures      int           // consecutive failures
 }
 
-// New begins at an address; moved tells that another one was followed before.
+// New returns the Pacer for an address. The flag moved tells that the router followed another address before.
 func New(policy Policy, moved bool) *Pacer {
 	p := &Pacer{policy: policy, rng: rand.New(rand.NewPCG(policy.Seed, policy.Seed>>32)), initialWindow: policy.Window}
 	if moved {
@@ -77,14 +78,15 @@
 	return p
 }
 
-// Begin is the pause before the first call: the router's own place in the window.
+// InitialDelay returns the pause before the first call, which is the router's own slot in the window.
 func (p *Pacer) InitialDelay() time.Duration {
 	return time.Duration(p.policy.Slot * float64(p.initialWindow))
 }
 
-// Failed notes that a call failed, or that what it had opened broke, and tells the pause before the next one, and
-// whether this is the first failure in a row. Danger: calls that fail together come again together; a call that a
-// service had no time for costs it as much as one that it answers, and so none may ever be answered again.
+// RecordFailure records that a call failed or that the connection it had opened broke. It returns the pause before the
+// next call, and whether this is the first of consecutive failures. Without jitter, calls that fail together would be
+// repeated together. A call that the service has no time for costs it as much as one that it answers, so it might never
+// answer any again.
 func (p *Pacer) RecordFailure() (pause time.Duration, isFirst bool) {
 	double := func(initial, limit time.Duration) time.Duration {
 		return min(initial<<min(p.failures, 16), limit)
@@ -99,13 +101,13 @@
 	return pause, isFirst
 }
 
-// Succeeded ends a row of failures, and tells whether there was one.
+// RecordSuccess ends a series of failures, and reports whether there was one.
 func (p *Pacer) RecordSuccess() (wasFailing bool) {
 	wasFailing, p.failures = p.failures > 0, 0
 	return wasFailing
 }
 
-// part draws a part of d.
+// randomShare returns a random duration from 0 to under d.
 func (p *Pacer) randomShare(d time.Duration) time.Duration {
 	return time.Duration(p.rng.Float64() * float64(d))
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -1,11 +1,13 @@
-// Package lease decides how long a dispatcher may act on the rules that it holds, and when a registrar may take it for
-// certain that one no longer does.
+// Package lease decides how long a dispatcher may act on the configuration that it holds, and when a registrar can be
+// certain that a dispatcher no longer acts on an older version.
 //
-// A dispatcher asks the registrars again and again. What they grant counts from the moment when its asking was sent,
-// by the asker's own clock, and is for the newest version that was agreed when the asking was heard, and for no other.
-// The leader proves by a round over a majority, begun after it heard the asking, that nobody has agreed on anything
-// newer without it. So a lease on a version never outlasts the agreement on the next one by more than its own length,
-// whoever led meanwhile, and no clock is compared with another; only rates are. See docs/accord.md for the proof.
+// A dispatcher is a gateway that holds a read lease on the replicated configuration; a registrar is a member of the Raft
+// group that replicates it. A dispatcher requests a lease with a heartbeat (a beat) at a regular interval. A lease runs
+// from the moment at which its beat was sent, by the dispatcher's own clock. It covers the newest version that was agreed
+// when the beat was received, and no other. Before the leader grants it, it proves by a round over a majority, begun
+// after the beat was received, that nobody has agreed on a newer version without it. So a lease on a version outlasts the
+// agreement on the next version by no more than the lease's own length, whichever registrar led in the meantime. No clock
+// is compared with another one; only their rates matter. See docs/accord.md for the proof.
 package lease
 
 import (
@@ -15,26 +17,27 @@
 	"time"
 )
 
-// Terms are what all dispatchers and registrars of a cluster are set to.
+// Terms are the lease settings that all dispatchers and registrars of a cluster share. Enrolment sends them as JSON under
+// the names of these fields.
 type Terms struct {
-	Length  time.Duration // of a lease, on the dispatcher's clock
-	Longest time.Duration // what a lease may grow to for a site about to be cut off; at least Length
-	Beat    time.Duration // a dispatcher asks so often
-	Send    time.Duration // from the check of a lease until the attempt's last byte is with the kernel
-	Drift   float64       // a clock runs at a rate from 1-Drift to 1+Drift of true time
+	Length  time.Duration // length of a lease, on the dispatcher's clock
+	Longest time.Duration // longest lease, granted at a site that is about to be cut off; at least Length
+	Beat    time.Duration // interval between a dispatcher's heartbeats
+	Send    time.Duration // longest time from the check of a lease until the kernel has the attempt's last byte
+	Drift   float64       // a clock runs at 1-Drift to 1+Drift times the rate of true time
 }
 
-// DefaultTerms are for dispatchers a local network away from their registrars.
+// DefaultTerms returns terms for dispatchers on the same local network as their registrars.
 func DefaultTerms() Terms {
 	return Terms{Length: 3 * time.Second, Longest: 3 * time.Second, Beat: 750 * time.Millisecond, Send: 250 * time.Millisecond, Drift: 0.1}
 }
 
-// Check tells what is wrong with terms.
+// Check returns an error that names the first setting that is out of range.
 func (t Terms) Check() error {
 	switch {
 	case t.Beat <= 0 || t.Send <= 0:
 		return fmt.Errorf("beat and send: expected more than 0s, got %v and %v", t.Beat, t.Send)
-	case t.Length < 3*t.Beat: // two askings in a row may be lost
+	case t.Length < 3*t.Beat: // two beats in a row may be lost
 		return fmt.Errorf("lease: expected at least three beats (%v), got %v", 3*t.Beat, t.Length)
 	case t.Longest < t.Length:
 		return fmt.Errorf("longest_lease: expected at least the lease (%v), got %v", t.Length, t.Longest)
@@ -44,58 +47,58 @@
 	return nil
 }
 
-// Bound is D: no dispatcher starts an attempt under a version older than the newest agreed one later than this after
-// that one was agreed, in true time. A dispatcher whose clock is slow counts its lease long.
+// StalenessBound returns D, the longest true time after the agreement on a version during which a dispatcher may still
+// start an attempt under an older one. It allows for a slow clock, by which a lease lasts longer than its length.
 func (t Terms) StalenessBound() time.Duration { return t.stalenessBound(t.Length) }
 
-// BoundOf is D for a dispatcher that was granted a lease of another length.
+// StalenessBoundFor returns D for a dispatcher whose lease has the given length.
 func (t Terms) StalenessBoundFor(length time.Duration) time.Duration { return t.stalenessBound(length) }
 
 func (t Terms) stalenessBound(length time.Duration) time.Duration {
 	return time.Duration(float64(length)/(1-t.Drift)) + t.Send
 }
 
-// Wait is how long a registrar waits, on its own clock, from hearing an asking until the lease that it may have given
-// rise to is over for certain. A registrar whose clock is fast counts true time short.
+// ExpiryWait returns how long a registrar has to wait, on its own clock, from receiving a beat until a lease granted for
+// that beat has certainly expired. It allows for a registrar whose clock is fast, on which the wait takes less true time.
 func (t Terms) ExpiryWait(length time.Duration) time.Duration {
 	return time.Duration(float64(t.stalenessBound(length)) * (1 + t.Drift))
 }
 
-// Mode is what a dispatcher does without a lease.
+// Mode tells what a dispatcher does when it has no lease.
 type Mode string
 
-// Modes.
+// Modes of a dispatcher.
 const (
-	Hold  Mode = "hold"  // nothing new is sent: requests are refused at once
-	Serve Mode = "serve" // the last version taken in goes on, without builds on trial and without dispatches
+	Hold  Mode = "hold"  // start no attempt; refuse requests at once
+	Serve Mode = "serve" // go on under the last version applied, without builds on trial and without dispatches
 )
 
-// Conduct is what a dispatcher may do at a moment.
+// Permission tells what a dispatcher may do at a given time.
 type Permission int
 
-// Conducts.
+// Permissions of a dispatcher.
 const (
-	Full  Permission = iota // all that the version it holds allows
-	Stale                   // mode Serve, without a lease: ordinary requests at builds that are not on trial
-	None                    // nothing new is sent
+	Full  Permission = iota // everything that the version it holds allows
+	Stale                   // mode Serve without a lease: only ordinary requests, to builds that are not on trial
+	None                    // no attempt may be started
 )
 
-// Holder is a dispatcher's side. It is not safe for use by several goroutines.
+// Holder is the dispatcher's side of a lease. It is not safe for concurrent use.
 type Holder struct {
 	Mode    Mode
-	version uint64 // taken in; 0: none yet in this life
+	version uint64 // newest version applied; 0: none yet in this incarnation
 	until   time.Duration
 	granted bool
 }
 
-// Took notes that a version has been taken in: from now on nothing starts under an older one.
+// Advance records that a version has been applied: from now on no attempt starts under an older one.
 func (h *Holder) Advance(version uint64) { h.version = max(h.version, version) }
 
-// Version is the newest version taken in.
+// Version returns the newest version applied.
 func (h *Holder) Version() uint64 { return h.version }
 
-// Granted notes a lease on a version, counted from when its asking was sent. A lease on a version that was not taken
-// in is worth nothing, and answers that come in another order never shorten what stands.
+// RecordGrant records a lease on a version that runs from when its beat was sent, and reports whether the lease is valid.
+// A lease on a version that has not been applied is not, and grants that arrive out of order never shorten a lease.
 func (h *Holder) RecordGrant(sentAt time.Duration, version uint64, length time.Duration) bool {
 	if version == 0 || version > h.version || length <= 0 {
 		return false
@@ -106,16 +109,18 @@
 	return true
 }
 
-// Stands tells whether a lease stands, and for how long yet.
+// Remaining returns how much of the lease is left, and whether the lease is in force.
 func (h *Holder) Remaining(now time.Duration) (remaining time.Duration, ok bool) {
 	return h.until - now, h.granted && now < h.until
 }
 
-// Lost notes that the record knows this life no more. Danger: whom the record does not name is waited for by nobody.
+// Revoke drops the lease because the replicated state no longer lists this incarnation. Registrars do not wait for an
+// incarnation that is not listed, so it must not go on under its lease.
 func (h *Holder) Revoke() { h.granted = false }
 
-// Conduct is what may be done now. A process that was granted no lease yet does nothing in either mode, whatever it has
-// heard of the rules: what it held in an earlier life may have been replaced, and a cordon may be confirmed without it.
+// Permission returns what the dispatcher may do now. A process that was never granted a lease may do nothing in either
+// mode, even if it knows a configuration: what it held in an earlier incarnation may have been replaced, and a cordon may
+// have been confirmed without it.
 func (h *Holder) Permission(now time.Duration) Permission {
 	_, hasLease := h.Remaining(now)
 	switch {
@@ -128,46 +133,49 @@
 	}
 }
 
-// Member is a dispatcher in the agreed record.
+// Member is a dispatcher in the replicated state.
 type Member struct {
-	Incarnation        uint64   `json:"life"`             // its number of this life; a later one replaces it
-	Token              string   `json:"token"`            // that it chose at its start, so that a repeated asking gets one life
-	Mode               Mode     `json:"mode"`             // as it is set to
-	FormerIncarnations []uint64 `json:"former,omitempty"` // lives that may still hold leases; bounded by Formers
-	KnownKinds         []string `json:"knows,omitempty"`  // kinds of rules that it understands
+	Incarnation        uint64   `json:"life"`             // number of the current incarnation, replaced at the next enrolment
+	Token              string   `json:"token"`            // chosen at process start, so that a repeated enrolment gets the same incarnation
+	Mode               Mode     `json:"mode"`             // the dispatcher's configured mode
+	FormerIncarnations []uint64 `json:"former,omitempty"` // incarnations that may still hold leases, at most MaxFormerIncarnations
+	KnownKinds         []string `json:"knows,omitempty"`  // kinds of rules that the dispatcher understands
 	Site               string   `json:"site,omitempty"`
 }
 
-// Formers bounds the former lives that are kept of one dispatcher: one that restarts faster than its leases lapse
-// waits until there is room.
+// MaxFormerIncarnations bounds the former incarnations kept for one dispatcher. A dispatcher that restarts faster than its
+// leases lapse has to wait before it can enrol again.
 const MaxFormerIncarnations = 16
 
+// incarnationState is what a leader knows about one incarnation of a dispatcher.
 type incarnationState struct {
-	lastBeat time.Duration // an asking was last heard
-	lapsesAt time.Duration // no lease that it was granted stands from then on
-	version  uint64
-	reported bool // by this leader
+	lastBeat time.Duration // when its last beat was received
+	lapsesAt time.Duration // from this time on, every lease granted to it has certainly expired
+	version  uint64        // newest version that it reported as applied
+	reported bool          // whether this leader has received a beat from it
 }
 
+// incarnationKey identifies one incarnation of a dispatcher.
 type incarnationKey struct {
 	name        string
 	incarnation uint64
 }
 
-// Roll is a leader's side: what it has heard from each life of each dispatcher since it began to lead. It lives and dies
-// with one term of leadership.
+// Tracker is the leader's side of the leases: what each incarnation of each dispatcher has reported since the leader's
+// term began. Every term of leadership starts with a new Tracker.
 type Tracker struct {
 	terms     Terms
 	startedAt time.Duration
 	states    map[incarnationKey]*incarnationState
 }
 
-// NewRoll begins a term of leadership. Danger: an earlier leader may have granted leases that this one never heard of;
-// until the longest of them is over, none counts as lapsed.
+// NewTracker returns the Tracker of a term of leadership that begins now. An earlier leader may have granted leases that
+// this one does not know of, so no lease counts as lapsed until the longest possible one has expired.
 func NewTracker(terms Terms, now time.Duration) *Tracker {
 	return &Tracker{terms: terms, startedAt: now, states: map[incarnationKey]*incarnationState{}}
 }
 
+// stateOf returns the state of an incarnation, and creates it if needed.
 func (r *Tracker) stateOf(name string, incarnation uint64) *incarnationState {
 	key := incarnationKey{name, incarnation}
 	s := r.states[key]
@@ -178,24 +186,24 @@
 	return s
 }
 
-// Asked notes an asking that was heard now, and what its sender had taken in by then; length is the longest lease that
-// may be granted for it. It has to be called before anything is granted.
+// RecordBeat records a beat that was received now and the version that its sender had applied. The length is that of the
+// longest lease that may be granted for the beat. RecordBeat has to be called before a lease is granted.
 func (r *Tracker) RecordBeat(now time.Duration, name string, incarnation, version uint64, length time.Duration) {
 	s := r.stateOf(name, incarnation)
 	s.lastBeat, s.lapsesAt = now, max(s.lapsesAt, now+r.terms.ExpiryWait(length))
 	s.version, s.reported = max(s.version, version), true
 }
 
-// Missing is a life of a dispatcher that may yet act on an older version.
+// Straggler is an incarnation of a dispatcher that may still act on an older version.
 type Straggler struct {
 	Name        string        `json:"name"`
 	Incarnation uint64        `json:"life"`
-	Version     uint64        `json:"holds"`           // 0: not heard of since this leader began
-	Remaining   time.Duration `json:"left_ns"`         // until its lease is over for certain; negative: it has to say so itself
-	NeverLapses bool          `json:"never,omitempty"` // mode serve: no lapse counts
+	Version     uint64        `json:"holds"`           // 0: no beat since this leader's term began
+	Remaining   time.Duration `json:"left_ns"`         // until its lease has certainly expired; if negative, only its own report settles it
+	NeverLapses bool          `json:"never,omitempty"` // mode serve: it goes on after its lease has expired
 }
 
-// Missing tells who may yet act on a version older than the one given, in order of names.
+// Stragglers returns the incarnations that may still act on a version older than the given one, sorted by name.
 func (r *Tracker) Stragglers(now time.Duration, members map[string]Member, version uint64) []Straggler {
 	var out []Straggler
 	for _, name := range slices.Sorted(maps.Keys(members)) {
@@ -206,7 +214,8 @@
 				continue
 			}
 			remaining := s.lapsesAt - now
-			// Danger: who serves on without a lease acts on what it last heard for as long as it is cut off.
+			// A dispatcher in mode serve acts on the last version it received for as long as it is cut off, so the expiry
+			// of its lease proves nothing.
 			neverLapses := m.Mode == Serve && incarnation == m.Incarnation
 			if neverLapses || remaining > 0 {
 				out = append(out, Straggler{Name: name, Incarnation: incarnation, Version: s.version, Remaining: remaining, NeverLapses: neverLapses})
@@ -216,7 +225,7 @@
 	return out
 }
 
-// Lapsed lists the former lives whose leases are over for certain.
+// LapsedIncarnations returns the former incarnations, by dispatcher, whose leases have certainly expired.
 func (r *Tracker) LapsedIncarnations(now time.Duration, members map[string]Member) map[string][]uint64 {
 	out := map[string][]uint64{}
 	for name, m := range members {
@@ -229,12 +238,13 @@
 	return out
 }
 
-// Over tells whether no lease of a life stands for certain.
+// HasLapsed reports whether every lease of an incarnation has certainly expired.
 func (r *Tracker) HasLapsed(now time.Duration, name string, incarnation uint64) bool {
 	return r.stateOf(name, incarnation).lapsesAt <= now
 }
 
-// Heard tells when a life was last heard of by this leader, and what it holds.
+// LastBeat returns when this leader received the last beat of an incarnation, and the newest version reported as applied.
+// If there was no beat in this term, ok is false.
 func (r *Tracker) LastBeat(name string, incarnation uint64) (at time.Duration, version uint64, ok bool) {
 	s := r.states[incarnationKey{name, incarnation}]
 	if s == nil || !s.reported {
@@ -243,15 +253,16 @@
 	return s.lastBeat, s.version, true
 }
 
-// Agreed is how far a leader's wall clock is off from what it and the dispatchers have together: the median, so that one
-// that was set wrong, its own too, moves nothing. Leases do not go by it; expiries of cordons do not either.
+// MedianOffset returns the median of the dispatchers' wall-clock offsets from the leader's clock and of the leader's own
+// offset, zero. A single clock that is set wrong, the leader's included, does not move the median. Neither leases nor the
+// expiry of cordons depend on it.
 func MedianOffset(offsets []time.Duration) time.Duration {
 	all := append(slices.Clone(offsets), 0)
 	slices.Sort(all)
 	return all[len(all)/2]
 }
 
-// Clone is a copy that goes its own way.
+// Clone returns an independent copy.
 func (r *Tracker) Clone() *Tracker {
 	clone := &Tracker{terms: r.terms, startedAt: r.startedAt, states: make(map[incarnationKey]*incarnationState, len(r.states))}
 	for k, s := range r.states {
--- a/internal/decide/usage/cursor.go
+++ b/internal/decide/usage/cursor.go
@@ -5,36 +5,37 @@
 	"slices"
 )
 
-// Instance names one life of one router.
+// Instance identifies one incarnation of one router.
 type Instance struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Batch is what an instance exports under one number; numbers of a life have no gaps.
+// Batch is what an instance exports under one sequence number. The numbers of an instance have no gaps.
 type Batch struct {
 	Instance Instance
-	Sequence uint64 // from 1
-	Sum      Sum    // of what it holds
+	Sequence uint64 // starts at 1
+	Sum      Sum    // total of the batch's content
 }
 
-// Receiver decides what a receiver of exports does with a batch: each counts once, in order, whatever comes again.
+// Receiver decides what a receiver of exports does with a batch. Each batch counts once and in order, even if it is sent
+// again.
 type Receiver struct{ lastSequence map[Instance]uint64 }
 
-// NewReceiver makes a receiver that has seen nothing.
+// NewReceiver returns a Receiver that has not received any batch.
 func NewReceiver() *Receiver { return &Receiver{lastSequence: map[Instance]uint64{}} }
 
-// Verdict is what to do with a batch.
+// Verdict tells what to do with a batch.
 type Verdict int
 
 // Verdicts on batches.
 const (
-	Accept     Verdict = iota // new: store it, then say so
-	Duplicate                 // seen before: say so, count nothing
-	OutOfOrder                // an earlier one is missing: refuse
+	Accept     Verdict = iota // new: store it, then confirm it
+	Duplicate                 // received before: confirm it without counting it
+	OutOfOrder                // an earlier batch is missing: refuse it
 )
 
-// Take judges a batch. The verdict Count must be made durable together with the batch.
+// Receive returns the verdict on a batch. The verdict Accept has to be made durable together with the batch.
 func (r *Receiver) Receive(b Batch) Verdict {
 	switch want := r.lastSequence[b.Instance] + 1; {
 	case b.Sequence < want:
@@ -46,18 +47,18 @@
 	return Accept
 }
 
-// Cursor is how far an instance's export has come. Danger: moved before the receiver's word, a crash loses a batch;
-// moved by the word on another batch, one is never sent.
+// Cursor is the position of an instance's export. If it advanced before the receiver's confirmation, a crash would lose a
+// batch; if it advanced on the confirmation of another batch, a batch would never be sent.
 type Cursor struct{ confirmed uint64 }
 
-// Resume continues after what had been confirmed.
+// ResumeCursor returns a cursor that continues after the last confirmed batch.
 func ResumeCursor(confirmed uint64) *Cursor { return &Cursor{confirmed} }
 
-// Next is the number to send.
+// Next returns the sequence number of the batch to send.
 func (c *Cursor) Next() uint64 { return c.confirmed + 1 }
 
-// Confirmed moves on by the receiver's durable word on a batch, and tells whether the cursor has moved: a word on an
-// earlier batch, come late, moves nothing; one on a batch that was never sent is an error.
+// Confirm advances the cursor on the receiver's durable confirmation of a batch, and reports whether it advanced. A late
+// confirmation of an earlier batch has no effect; one of a batch that was never sent is an error.
 func (c *Cursor) Confirm(sequence uint64) (moved bool, err error) {
 	switch {
 	case sequence <= c.confirmed:
@@ -69,13 +70,13 @@
 	return true, nil
 }
 
-// Claim is what an instance states of a period: its own figure.
+// Claim is an instance's own total of a period.
 type Claim struct {
 	Instance Instance
 	Sum      Sum
 }
 
-// Finding is what reconciling a period found of one instance.
+// Finding is a discrepancy that the reconciliation of a period found for one instance.
 type Finding struct {
 	Instance Instance
 	Kind     FindingKind
@@ -83,19 +84,19 @@
 	Received Sum
 }
 
-// FindingKind is what does not agree.
+// FindingKind tells what does not agree.
 type FindingKind int
 
 // Kinds of findings.
 const (
-	Missing   FindingKind = iota // expected, and neither claim nor batch came: unknown, not zero
-	Mismatch                     // the claim and what was received are not the same
-	Unclaimed                    // batches came, no claim
-	Restarted                    // another life of a name that has claimed already
+	Missing   FindingKind = iota // expected, but neither a claim nor a batch arrived: the total is unknown, not zero
+	Mismatch                     // the claim differs from what was received
+	Unclaimed                    // batches arrived, but no claim
+	Restarted                    // another incarnation under a name that already has a claim
 )
 
-// Reconcile holds what instances claim of a period against what was received from them. Expected names the routers
-// that must have a claim. Nothing that is absent counts as zero: it is a finding.
+// Reconcile compares what instances claim for a period with what was received from them. Expected names the routers that
+// must have a claim. Something that is absent does not count as zero but is a finding.
 func Reconcile(expected []string, claims []Claim, received map[Instance]Sum) []Finding {
 	var out []Finding
 	seen := map[string]int{}
--- a/internal/decide/usage/state.go
+++ b/internal/decide/usage/state.go
@@ -6,26 +6,27 @@
 	"slices"
 )
 
-// State is a book at rest, in an order that does not depend on how it came about.
+// State is the content of a Book for storage, in an order that does not depend on the order in which it was entered. It
+// is encoded under the names of the fields of the types in this package, so these names stay.
 type State struct {
 	Open  Period
 	Pages []PageState
 }
 
-// PageState is one period of it.
+// PageState is the content of one period.
 type PageState struct {
 	Period Period
 	Lines  []StateLine
 	Notes  []Note
 }
 
-// StateLine is one account of a period.
+// StateLine is the total of one account in a period.
 type StateLine struct {
 	Account Account
 	Sum     Sum
 }
 
-// State gives the book's state, for a snapshot.
+// State returns the book's content for a snapshot.
 func (b *Book) State() State {
 	out := State{Open: b.open}
 	for _, p := range slices.Sorted(maps.Keys(b.pages)) {
@@ -42,7 +43,7 @@
 	return out
 }
 
-// Restore replaces the book's content by a state.
+// Restore replaces the book's content by that of a snapshot.
 func (b *Book) Restore(s State) {
 	b.open, b.pages, b.corrections = s.Open, map[Period]*page{}, map[string]Note{}
 	for _, ps := range s.Pages {
@@ -59,7 +60,7 @@
 	}
 }
 
-// Periods are those that the book knows of, closed ones included.
+// Periods returns the periods with entries in the book or notes about them, including closed periods, in order.
 func (b *Book) Periods() []Period {
 	known := map[Period]bool{}
 	for p, page := range b.pages {
--- a/internal/decide/usage/usage.go
+++ b/internal/decide/usage/usage.go
@@ -1,9 +1,9 @@
-// Package usage decides what counts as use, by whom and in which period; when a period closes; where a late entry
-// or a correction goes; and what a statement says. It keeps sums only, bounded by the settings, and is pure: the time
-// comes with each call, and the same calls give the same book.
+// Package usage decides what counts as usage, for whom and in which period; when a period closes; where a late entry or a
+// correction is entered; and what a statement contains. It keeps only sums, and their number is bounded by the settings. It
+// does no input or output: the time is passed with each call, and the same calls give the same book.
 //
-// A closed period never changes. What comes for it afterwards is an entry of the oldest open period that names the
-// period, the reason and the author, and every statement shows both figures.
+// A closed period never changes. What arrives for it later is entered in the oldest open period with the period that it is
+// about, the reason and the author, and every statement shows both figures.
 package usage
 
 import (
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome tells how a request ended for its client.
 type Outcome uint8
 
-// Outcomes that are told apart in accounts.
+// Outcomes with separate accounts.
 const (
 	Served Outcome = iota
 	Refused
@@ -26,27 +26,27 @@
 	outcomeCount
 )
 
-// Other is the name under which what no setting names is counted. Danger: names come from clients; each would
-// otherwise grow the book.
+// Other is the name under which tenants and classes that the settings do not name are counted. The names come from
+// clients, so otherwise each new name would make the book grow.
 const Other = "(other)"
 
-// Settings bound the book.
+// Settings give the length of periods and the names that have accounts of their own, which bounds the size of a book.
 type Settings struct {
-	Period  time.Duration // length of a period, over 0; periods are counted from the Unix epoch, UTC
-	Grace   time.Duration // a period closes so long after its end
+	Period  time.Duration // length of a period, more than 0; periods are counted from the Unix epoch, UTC
+	Grace   time.Duration // time from the end of a period until it closes
 	Tenants []string
 	Classes []string
 }
 
-// Period is a period's number since the epoch.
+// Period is the number of a period since the epoch.
 type Period int64
 
-// Start is when a period begins.
+// PeriodStart returns the time at which a period begins.
 func (s Settings) PeriodStart(p Period) time.Time {
 	return time.Unix(0, int64(p)*int64(s.Period)).UTC()
 }
 
-// At is the period of a moment.
+// PeriodAt returns the period that contains a time.
 func (s Settings) PeriodAt(t time.Time) Period {
 	n := t.UnixNano() / int64(s.Period)
 	if t.UnixNano()%int64(s.Period) < 0 {
@@ -55,22 +55,22 @@
 	return Period(n)
 }
 
-// Use is one final answer.
+// Use is the usage of one final answer.
 type Use struct {
 	Tenant, Class string
 	Outcome       Outcome
 	Attempts      int64
-	Work          time.Duration // estimated
+	Work          time.Duration // estimate
 	Worth         int64         // millionths
 }
 
-// Account is what is counted together.
+// Account identifies the usage that is added up together.
 type Account struct {
 	Tenant, Class string
 	Outcome       Outcome
 }
 
-// Sum is use added up.
+// Sum is a total of usage.
 type Sum struct {
 	Requests, Attempts int64
 	Work               time.Duration
@@ -81,44 +81,44 @@
 	return Sum{s.Requests + t.Requests, s.Attempts + t.Attempts, s.Work + t.Work, s.Worth + t.Worth}
 }
 
-// Note is a correction, or late use, for a period that had closed when it came.
+// Note is a correction, or late usage of a period that had already closed.
 type Note struct {
-	Key     string // a repeat of the same key changes nothing
-	For     Period // the closed period that it is about
-	In      Period // the open one that holds it
+	Key     string // idempotency key: repeating it changes nothing
+	For     Period // the period that it is about
+	In      Period // the open period in which it is entered
 	Account Account
-	Sum     Sum // negative figures take back
+	Sum     Sum // negative figures reduce the account
 	Reason  string
 	Author  string
 }
 
-// lateKey, with a period and an account, is the key of the note that gathers late use.
+// lateKey is the key of the notes that collect late usage, one for each period and account.
 const lateKey = "late"
 
-// page is one period.
+// page holds the entries of one period.
 type page struct {
 	sums  map[Account]Sum
 	notes []Note
 }
 
-// Book is one instance's accounts.
+// Book holds the accounts of one instance.
 type Book struct {
 	settings    Settings
 	tenants     map[string]bool
 	classes     map[string]bool
-	open        Period // the oldest open period: all before it are closed
+	open        Period // the oldest open period: all periods before it are closed
 	pages       map[Period]*page
-	corrections map[string]Note // corrections by key
+	corrections map[string]Note // by key
 }
 
-// Errors of corrections.
+// Errors of Book.Correct.
 var (
 	ErrIncompleteCorrection = errors.New("a correction needs a key, a reason and an author")
 	ErrKeyReused            = errors.New("the key was used for another correction")
 	ErrFuturePeriod         = errors.New("the period has not begun")
 )
 
-// New opens a book at a moment.
+// New returns an empty book that starts at a given time.
 func New(s Settings, now time.Time) (*Book, error) {
 	if s.Period <= 0 || s.Grace < 0 {
 		return nil, fmt.Errorf("accounts: period %v and grace %v: need more than 0, and 0 or more", s.Period, s.Grace)
@@ -134,11 +134,11 @@
 	return b, nil
 }
 
-// Open is the oldest open period.
+// Open returns the oldest open period.
 func (b *Book) Open() Period { return b.open }
 
-// Close closes what is due at a moment, and tells which periods that were, the oldest first. Danger: a clock that
-// steps back must not open a period again; what was closed stays so.
+// Close closes the periods that are due at a given time, and returns those that have entries, the oldest first. A closed
+// period stays closed even if the clock steps back.
 func (b *Book) Close(now time.Time) []Period {
 	var closed []Period
 	due := b.settings.PeriodAt(now.Add(-b.settings.Grace))
@@ -152,7 +152,8 @@
 	return closed
 }
 
-// account folds names that no setting has. Two thousand unknown tenants are one line.
+// accountFor returns the account of a use. All names that are not in the settings share one account name, so two thousand
+// unknown tenants make one line.
 func (b *Book) accountFor(tenant, class string, o Outcome) Account {
 	if !b.tenants[tenant] {
 		tenant = Other
@@ -170,8 +171,8 @@
 	return b.pages[p]
 }
 
-// Add counts a final answer in the period in which it was given, whenever the request came; where that has closed,
-// in the oldest open one, as late. It tells which period holds it.
+// Add counts a final answer in the period in which it was given, whenever the request arrived. If that period has closed,
+// Add counts it as late in the oldest open period. It returns the period in which the answer was entered.
 func (b *Book) Add(at time.Time, u Use) Period {
 	a := b.accountFor(u.Tenant, u.Class, u.Outcome)
 	sum := Sum{1, u.Attempts, u.Work, u.Worth}
@@ -190,9 +191,9 @@
 	return b.open
 }
 
-// Correct enters a correction. For an open period it is a note in that period; for a closed one it is a note of the
-// oldest open one. The same key again gives the first note and changes nothing; for another content it is an error. A
-// tenant that has left the settings is corrected under its name.
+// Correct enters a correction as a note: in its own period if that is open, or else in the oldest open period. Repeating a
+// key returns the first note and changes nothing; with another content it is an error. Usage of a tenant that is no longer
+// in the settings is corrected under the tenant's name.
 func (b *Book) Correct(now time.Time, n Note) (Note, error) {
 	if n.Key == "" || n.Key == lateKey || n.Reason == "" || n.Author == "" {
 		return Note{}, ErrIncompleteCorrection
@@ -217,19 +218,19 @@
 // Line is one account of a statement.
 type Line struct {
 	Account
-	Counted   Sum // in the period itself; of a closed one it never changes
-	Corrected Sum // with all notes about it, wherever they stand
+	Counted   Sum // entered in the period itself; in a closed period it never changes
+	Corrected Sum // including all notes about the period, whichever period holds them
 }
 
-// Statement is what a book says of a period.
+// Statement shows the accounts of a period.
 type Statement struct {
 	Period Period
 	Closed bool
-	Lines  []Line // by tenant, class and outcome
-	Notes  []Note // about it, in the order in which they came
+	Lines  []Line // sorted by tenant, class and outcome
+	Notes  []Note // notes about it, in order of entry
 }
 
-// Statement sums up a period.
+// Statement returns the statement of a period.
 func (b *Book) Statement(p Period) Statement {
 	st := Statement{Period: p, Closed: p < b.open}
 	lines := map[Account]Line{}
