--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -21,8 +21,8 @@
 	drainGraceDivisor = 4 // the longest pause is the drain grace divided by this
 
 	windowShare         = 0.8             // part of AskWithin used for the window; the rest is for the answer
-	moveWindow          = 3 * time.Second // window after a move: 4 s after it, changes count as delivered whether they were received or not
-	maxWindowFactor     = 2.0             // widest window as a multiple of AskWithin; after a failure, four times AskWithin is granted
+	moveWindow          = 3 * time.Second // window after a move; 4 s after it, changes count as delivered in any case
+	maxWindowFactor     = 2.0             // of AskWithin; after a failure, four times AskWithin is granted
 	goldenRatioFraction = 0.6180339887498949
 )
 
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -3,11 +3,11 @@
 //
 // A dispatcher is a gateway that holds a read lease on the replicated configuration; a registrar is a member of the Raft
 // group that replicates it. A dispatcher requests a lease with a heartbeat (a beat) at a regular interval. A lease runs
-// from the moment at which its beat was sent, by the dispatcher's own clock. It covers the newest version that was agreed
-// when the beat was received, and no other. Before the leader grants it, it proves by a round over a majority, begun
-// after the beat was received, that nobody has agreed on a newer version without it. So a lease on a version outlasts the
-// agreement on the next version by no more than the lease's own length, whichever registrar led in the meantime. No clock
-// is compared with another one; only their rates matter. See docs/accord.md for the proof.
+// from the moment at which its beat was sent, by the dispatcher's own clock. It covers the newest version that was committed
+// when the beat was received, and no other. Before the leader grants a lease, it proves by a round over a majority, begun
+// after the beat was received, that no newer version has been committed without it. So a lease on a version outlasts the
+// commit of the next version by no more than the lease's own length, whichever registrar led in the meantime. Clocks are
+// never compared with each other; only their rates matter. See docs/accord.md for the proof.
 package lease
 
 import (
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// StalenessBound returns D, the longest true time after the agreement on a version during which a dispatcher may still
+// StalenessBound returns D, the longest true time after the commit of a version during which a dispatcher may still
 // start an attempt under an older one. It allows for a slow clock, by which a lease lasts longer than its length.
 func (t Terms) StalenessBound() time.Duration { return t.stalenessBound(t.Length) }
 
@@ -136,7 +136,7 @@
 // Member is a dispatcher in the replicated state.
 type Member struct {
 	Incarnation        uint64   `json:"life"`             // number of the current incarnation, replaced at the next enrolment
-	Token              string   `json:"token"`            // chosen at process start, so that a repeated enrolment gets the same incarnation
+	Token              string   `json:"token"`            // chosen at process start; a repeated enrolment gets the same incarnation
 	Mode               Mode     `json:"mode"`             // the dispatcher's configured mode
 	FormerIncarnations []uint64 `json:"former,omitempty"` // incarnations that may still hold leases, at most MaxFormerIncarnations
 	KnownKinds         []string `json:"knows,omitempty"`  // kinds of rules that the dispatcher understands
@@ -199,7 +199,7 @@
 	Name        string        `json:"name"`
 	Incarnation uint64        `json:"life"`
 	Version     uint64        `json:"holds"`           // 0: no beat since this leader's term began
-	Remaining   time.Duration `json:"left_ns"`         // until its lease has certainly expired; if negative, only its own report settles it
+	Remaining   time.Duration `json:"left_ns"`         // until its lease has certainly expired; if negative, its own report is needed
 	NeverLapses bool          `json:"never,omitempty"` // mode serve: it goes on after its lease has expired
 }
 
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -1,6 +1,8 @@
-// Package statemachine decides what the agreed record becomes by each entry of the registrars' log: the rulebook's versions,
-// the dispatchers and their lives, and which cordons are confirmed. Every registrar carries out the same entries in the
-// same order and holds the same record.
+// Package statemachine decides how each entry of the registrars' Raft log changes the replicated state: the versions of the
+// rules, the enrolled dispatchers and their incarnations, the confirmation of cordons, and planned work. A registrar is a
+// member of the Raft group that replicates the configuration; a dispatcher is a gateway that holds a read lease on it; a
+// cordon keeps new requests away from a server; a dispatch is a piece of planned work. Every registrar applies the same
+// entries in the same order and so holds the same state.
 package statemachine
 
 import (
@@ -19,10 +21,10 @@
 	"merlinarch/internal/decide/schedule"
 )
 
-// Entry is one entry of the log. One of its parts is set.
+// Entry is one entry of the log. Exactly one of its parts is set. Entries are stored as JSON.
 type Entry struct {
-	// Term is the term of the leader that judged it. Danger: one that was deposed, or that stood still, judges by what
-	// it heard long ago; what it judged is void unless it still led in this very term when the entry was agreed.
+	// Term is the term of the leader that proposed the entry. A leader that was deposed or was paused may decide by old
+	// reports, so its decision is void unless the entry was appended to the log in the same term.
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
 
@@ -40,40 +42,41 @@
 	Drop     *Drop        `json:"drop,omitempty"`
 }
 
-// Enrol gives a life to a dispatcher.
+// Enrol gives an incarnation to a dispatcher.
 type Enrol struct {
 	Name       string     `json:"name"`
-	Token      string     `json:"token"` // drawn by the dispatcher at its start
+	Token      string     `json:"token"` // chosen at random by the dispatcher at its start
 	Mode       lease.Mode `json:"mode"`
 	KnownKinds []string   `json:"knows,omitempty"`
 	Site       string     `json:"site,omitempty"`
 }
 
-// Open puts in force what waits, as nobody acts on a version older than the one that announced it.
+// Activate brings waiting changes into force, up to a version. It is proposed once no dispatcher acts on a version older
+// than the one that announced them.
 type Activate struct {
 	Version uint64 `json:"version"`
 }
 
-// Confirm says that no dispatcher will start anything at a server.
+// Confirm records that no dispatcher starts attempts at a cordoned server any more.
 type Confirm struct {
 	Cordon  string   `json:"cordon"`
-	Version uint64   `json:"version"`          // that brought it: one lifted and asked for anew meanwhile is another
-	Total   int      `json:"of"`               // dispatchers at that time
-	Lapsed  []string `json:"lapsed,omitempty"` // those that did not say so: their leases are over
+	Version uint64   `json:"version"`          // that introduced the cordon; it changes if a cordon is lifted and requested again
+	Total   int      `json:"of"`               // number of dispatchers at that time
+	Lapsed  []string `json:"lapsed,omitempty"` // dispatchers that did not report the version but whose leases have expired
 }
 
-// Passed counts time towards the expiry of cordons: what passed on the leader's clock since the last such entry of its
-// term. Wall clocks have no part in it; time between two leaders is not counted, so a cordon lasts too long at worst.
+// Elapsed counts time towards the expiry of cordons: the time on the leader's clock since the previous such entry of its
+// term. Wall clocks are not used. Time between two leaders is not counted, so at worst a cordon lasts too long.
 type Elapsed struct {
 	Ms int64 `json:"ms"`
 }
 
-// Forget drops former lives of dispatchers whose leases are over.
+// Forget removes former incarnations of dispatchers whose leases have expired.
 type Forget struct {
 	Incarnations map[string][]uint64 `json:"lives"`
 }
 
-// Retire takes a dispatcher out of the record: whoever asks for it vouches that it has ended.
+// Retire removes a dispatcher from the state. Its author vouches that the dispatcher's process has ended.
 type Retire struct {
 	Name   string `json:"name"`
 	Author string `json:"author"`
@@ -81,37 +84,37 @@
 	Forced bool   `json:"forced,omitempty"`
 }
 
-// Confirmation is a cordon's, as it was agreed.
+// Confirmation records when a cordon was confirmed, and for how many dispatchers.
 type Confirmation struct {
 	At     int64    `json:"at_ms"`
 	Total  int      `json:"of"`
 	Lapsed []string `json:"lapsed,omitempty"`
 }
 
-// State is the whole record.
+// State is the whole replicated state. It is stored as JSON.
 type State struct {
 	Book            *ruleset.Book            `json:"book"`
 	Members         map[string]lease.Member  `json:"members"`
-	LastIncarnation uint64                   `json:"lives"` // the number of the last one given
+	LastIncarnation uint64                   `json:"lives"` // number of the last incarnation given
 	Confirmed       map[string]Confirmation  `json:"confirmed"`
-	CordonVersions  map[string]uint64        `json:"agreed"` // by cordon: the version that brought it
+	CordonVersions  map[string]uint64        `json:"agreed"` // by cordon: the version that introduced it
 	Retired         map[string]Retire        `json:"retired,omitempty"`
-	RemainingMs     map[string]int64         `json:"left,omitempty"` // by cordon that expires: ms until then
+	RemainingMs     map[string]int64         `json:"left,omitempty"` // by cordon that expires: time until then
 	Contacts        *contact.Sites           `json:"contacts"`
-	Dispatches      map[string]DispatchState `json:"work,omitempty"` // by dispatch
-	LastFence       uint64                   `json:"fence"`          // of the latest claim
+	Dispatches      map[string]DispatchState `json:"work,omitempty"` // by dispatch name
+	LastFence       uint64                   `json:"fence"`          // fencing token of the latest claim
 
 	Registrars         map[string]Registrar `json:"registrars"`
-	FormerRegistrarIDs []uint64             `json:"gone,omitempty"` // identities that were replaced: never taken again
+	FormerRegistrarIDs []uint64             `json:"gone,omitempty"` // replaced or removed; never accepted again
 }
 
-// Registrar is one of those that keep the record.
+// Registrar is one member of the Raft group.
 type Registrar struct {
-	ID   uint64 `json:"id"` // of its disk: one that lost it is another
+	ID   uint64 `json:"id"` // identity of its store; a registrar that lost its store gets another one
 	Addr string `json:"address"`
 }
 
-// Replace puts a registrar in, or in the place of one that bore its name; with an empty address it takes it out.
+// ReplaceRegistrar adds a registrar, or replaces the one with the same name. With an empty address it removes it.
 func (s *State) ReplaceRegistrar(name string, r Registrar) {
 	if old, ok := s.Registrars[name]; ok && old.ID != r.ID {
 		s.FormerRegistrarIDs = append(slices.Clone(s.FormerRegistrarIDs), old.ID)
@@ -129,16 +132,16 @@
 	s.Registrars = next
 }
 
-// MaxMembers bounds the dispatchers of a cluster.
+// MaxMembers bounds the number of dispatchers in a cluster.
 const MaxMembers = 4096
 
-// New is the record before its first entry.
+// New returns the state before its first entry.
 func New(budget cordon.Budget, coldMs int64) *State {
 	return &State{Book: ruleset.New(budget, coldMs), Members: map[string]lease.Member{}, Confirmed: map[string]Confirmation{},
 		CordonVersions: map[string]uint64{}, Retired: map[string]Retire{}, RemainingMs: map[string]int64{}, Contacts: contact.New(), Dispatches: map[string]DispatchState{}}
 }
 
-// Restore reads a record that was written whole.
+// Restore reads a state from a snapshot.
 func Restore(text []byte) (*State, error) {
 	s := New(cordon.Budget{}, 0)
 	s.Book = nil
@@ -151,16 +154,16 @@
 	return s, nil
 }
 
-// Result is what an entry did.
+// Result tells what applying an entry did.
 type Result struct {
 	Answer      ruleset.Answer // to an Ask
-	Incarnation uint64         // that was given to a dispatcher
-	Refused     string         // why nothing was done; empty: it was
-	Step        *ruleset.Step  // that made a new version, if there is one
+	Incarnation uint64         // given to a dispatcher
+	Refused     string         // why the entry was not applied; empty: it was applied
+	Step        *ruleset.Step  // the step to the new version, if there is one
 }
 
-// Apply carries out one entry, agreed in a term. Entries that a later program wrote, with parts that this one does not
-// know, must not be passed over unseen: Decode refuses them.
+// Apply applies one committed entry, which was appended to the log in the given term. An entry written by a later build
+// may have parts that this build does not know. It must not be skipped silently, so Decode refuses it.
 func (s *State) Apply(e Entry, term uint64) Result {
 	before := s.Book.Document.Head.Version
 	r := s.apply(e, term)
@@ -173,7 +176,8 @@
 }
 
 func (s *State) apply(e Entry, term uint64) Result {
-	// An operator's asking, a dispatcher's enrolment are judged here, on the record alone, whoever passed them on.
+	// Requests of operators and enrolments are decided here, by the replicated state alone, so the term in which they were
+	// proposed does not matter.
 	needsSameTerm := e.Activate != nil || e.Confirm != nil || e.Forget != nil || e.Elapsed != nil || e.Claim != nil || e.Reclaim != nil || e.Drop != nil
 	if needsSameTerm && e.Term != term {
 		return Result{Refused: fmt.Sprintf("judged in term %d, agreed in term %d", e.Term, term)}
@@ -209,7 +213,7 @@
 		for name, incarnations := range e.Forget.Incarnations {
 			if m, ok := s.Members[name]; ok {
 				m.FormerIncarnations = slices.DeleteFunc(slices.Clone(m.FormerIncarnations), func(l uint64) bool { return slices.Contains(incarnations, l) })
-				if s.Members[name] = m; m.Incarnation == 0 && len(m.FormerIncarnations) == 0 { // retired, and over
+				if s.Members[name] = m; m.Incarnation == 0 && len(m.FormerIncarnations) == 0 { // retired, and no lease can be in force
 					delete(s.Members, name)
 				}
 			}
@@ -224,7 +228,7 @@
 		case m.Mode == lease.Serve && !e.Retire.Forced:
 			return Result{Refused: "it serves without a lease: retire it by force once its process has ended for certain"}
 		}
-		// Its lives are waited for as any that were replaced are; nothing but their lapse is known of them.
+		// Its incarnations are waited for like any that were replaced. Only the expiry of their leases settles them.
 		m.FormerIncarnations, m.Mode = append(slices.Clone(m.FormerIncarnations), m.Incarnation), lease.Hold
 		m.Incarnation, m.Token = 0, ""
 		s.Members[e.Retire.Name] = m
@@ -237,8 +241,8 @@
 	return Result{}
 }
 
-// enrol gives a dispatcher its life. Danger: a process that was killed and comes back under its name may meet a lease
-// of its earlier life that still stands somewhere; that life is waited for like a dispatcher of its own.
+// enrol gives a dispatcher its incarnation. When a process is killed and starts again under the same name, a lease of its
+// earlier incarnation may still be in force. So registrars wait for that incarnation as for a separate dispatcher.
 func (s *State) enrol(e Enrol) Result {
 	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxText || len(e.Token) > ruleset.MaxText || len(e.KnownKinds) > 64 ||
 		e.Mode != lease.Hold && e.Mode != lease.Serve {
@@ -264,14 +268,14 @@
 	return Result{Incarnation: m.Incarnation}
 }
 
-// lifting tells whether a cordon's lifting is agreed and waits.
+// isLifting reports whether the lifting of a cordon is committed but not yet in force.
 func (s *State) isLifting(id string) bool {
 	return slices.ContainsFunc(s.Book.Document.Waiting, func(w ruleset.Waiting) bool {
 		return w.Change.Kind == ruleset.KindLift && w.Change.Name == id
 	})
 }
 
-// follow keeps what is known of cordons in step with the rules.
+// syncCordons updates the state of cordons and dispatches after a new version of the rules.
 func (s *State) syncCordons() {
 	d := &s.Book.Document
 	for id := range s.CordonVersions {
@@ -292,7 +296,7 @@
 			s.CordonVersions[id] = d.Head.Version
 		}
 	}
-	for _, c := range s.Book.Last().Changes { // also one that stands already and is asked for again
+	for _, c := range s.Book.Last().Changes { // including a cordon that already exists and is requested again
 		if c.Kind != ruleset.KindCordon {
 			continue
 		}
@@ -302,11 +306,11 @@
 	}
 }
 
-// Cordon is how far one has got.
+// CordonStatus tells how far a cordon has been put into effect.
 type CordonStatus struct {
 	ID string `json:"id"`
 	cordon.Order
-	Version    uint64            `json:"version"` // that brought it
+	Version    uint64            `json:"version"` // that introduced it
 	State      cordon.State      `json:"state"`
 	Confirmed  *Confirmation     `json:"confirmed,omitempty"`
 	Reached    int               `json:"reached"`
@@ -314,20 +318,20 @@
 	Stragglers []lease.Straggler `json:"missing,omitempty"`
 }
 
-// Watch is what a leader knows at a moment, beside the record.
+// LeaderView is what a leader knows at a given time in addition to the replicated state.
 type LeaderView struct {
 	Leases      *lease.Tracker
 	Now         time.Duration              // on the leader's clock
-	ListServers func() []cordon.Server     // as the dispatchers list them, pooled
-	Reports     map[string][]cordon.Report // by dispatcher: its evidence on servers, of late
+	ListServers func() []cordon.Server     // merged from the lists of all dispatchers
+	Reports     map[string][]cordon.Report // by dispatcher: its recent evidence on servers
 	AutoCordon  cordon.Auto
-	SiteStates  map[string]contact.State // by site: what the dispatchers met there of late, pooled
-	UnixMs      int64                    // ms
+	SiteStates  map[string]contact.State // by site: whether dispatchers could reach it recently, merged from all reports
+	UnixMs      int64                    // wall-clock time
 	Schedule    schedule.Settings
 	Elapsed     time.Duration // since the last entry that counted time
 }
 
-// Cordons tells of all cordons, in order of their names.
+// Cordons returns the status of all cordons, sorted by ID.
 func (s *State) Cordons(w LeaderView) []CordonStatus {
 	var out []CordonStatus
 	for _, id := range slices.Sorted(maps.Keys(s.Book.Document.Rules.Cordons)) {
@@ -350,7 +354,7 @@
 	return out
 }
 
-// living counts the dispatchers that have a life.
+// enrolledCount returns the number of dispatchers with a current incarnation.
 func (s *State) enrolledCount() int {
 	n := 0
 	for _, m := range s.Members {
@@ -361,10 +365,11 @@
 	return n
 }
 
-// countEvery is how often time is counted towards the expiry of cordons: what a change of leaders may add to each.
+// elapsedInterval is how often time is counted towards the expiry of cordons. A change of leaders may prolong each cordon
+// by this much.
 const elapsedInterval = 2 * time.Second
 
-// Due is what a leader asks the record to take in now, by what it has heard in its term.
+// Due returns the entries that a leader should propose now, by the reports of its term.
 func (s *State) Due(w LeaderView) []Entry {
 	var out []Entry
 	d := &s.Book.Document
@@ -374,7 +379,7 @@
 		}
 	}
 	if v := s.Book.Ready(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
-		return m.Remaining > 0 // who serves without a lease keeps to the last version it heard, and nobody waits for it here
+		return m.Remaining > 0 // a dispatcher in mode serve without a lease stays at its last version and is not waited for
 	}) {
 		out = append(out, Entry{Activate: &Activate{Version: v}})
 	}
@@ -388,13 +393,13 @@
 		if s.RemainingMs[id] == 0 && !s.isLifting(id) {
 			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), Base: d.Head.Version,
 				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
-			break // the next one rests on the version that this makes
+			break // the next one has to be based on the version that this one makes
 		}
 	}
 	out = append(out, s.dueDispatchEntries(w)...)
 	for _, host := range w.AutoCordon.Suspects(w.Reports, d.Rules.Cordons) {
 		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
-			continue // it would be refused, again and again
+			continue // it would be refused each time
 		}
 		out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), Base: d.Head.Version,
 			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.ListServers(),
@@ -404,7 +409,8 @@
 	return out
 }
 
-// lapsed names the dispatchers that have not taken in a version, and may be passed over as their leases are over.
+// dispatchersBehind returns the enrolled dispatchers that have not reported a version as applied. For a cordon that is
+// about to be confirmed their leases have expired, so that they need not be waited for.
 func (s *State) dispatchersBehind(w LeaderView, version uint64) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
@@ -416,7 +422,7 @@
 	return out
 }
 
-// Decode reads an entry, and refuses what it does not understand whole.
+// Decode reads an entry, and refuses an entry with any part that this build does not know.
 func Decode(text []byte) (Entry, error) {
 	var e Entry
 	d := json.NewDecoder(bytes.NewReader(text))
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -13,50 +13,50 @@
 	"merlinarch/internal/decide/schedule"
 )
 
-// Seen is what the dispatchers met at sites, pooled.
+// Observed records whether dispatchers could reach sites, merged from all reports.
 type Observed struct {
 	States map[string]contact.State `json:"states"`
 }
 
-// Claim gives a dispatch to a life of a dispatcher. It gets a fence, higher than any before: who was given the same work
-// earlier, and stood still meanwhile, is told from who has it now.
+// Claim gives a dispatch to an incarnation of a dispatcher. It gets a fencing token higher than any before, which
+// distinguishes the present owner from an earlier one that was paused in the meantime.
 type Claim struct {
 	Dispatch    string `json:"dispatch"`
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"life"`
 }
 
-// Ended is an owner's word on what became of its try.
+// Outcome is an owner's report on how its try ended.
 type Outcome struct {
 	Dispatch string `json:"dispatch"`
 	Fence    uint64 `json:"fence"`
-	Done     bool   `json:"done"` // the receiver has it; else nothing is known of the try
+	Done     bool   `json:"done"` // the receiver has it; if false, the result of the try is unknown
 }
 
-// Vacate takes a claim back, as its owner's lease is over.
+// Reclaim ends a claim because its owner's lease has expired.
 type Reclaim struct {
 	Dispatch string `json:"dispatch"`
 	Fence    uint64 `json:"fence"`
 }
 
-// Drop gives a dispatch up.
+// Drop gives up a dispatch.
 type Drop struct {
 	Dispatch string `json:"dispatch"`
 	Reason   string `json:"why"`
 }
 
-// Progress is how far a dispatch has got.
+// Progress is the state of a dispatch.
 type Progress string
 
-// Progress of dispatches.
+// States of a dispatch.
 const (
-	Free    Progress = "free"    // nobody has it
+	Free    Progress = "free"    // no dispatcher has claimed it
 	Claimed Progress = "claimed" // its owner may be sending it
 	Done    Progress = "done"    // the receiver has it
 	Dropped Progress = "dropped" // it was given up
 )
 
-// Work is a dispatch in the record.
+// DispatchState is a dispatch in the replicated state.
 type DispatchState struct {
 	Progress    Progress `json:"progress"`
 	Owner       string   `json:"owner,omitempty"`
@@ -68,7 +68,7 @@
 	ChangedMs   int64    `json:"at_ms"`
 }
 
-// work carries out an entry on a dispatch.
+// applyDispatch applies an entry about a dispatch.
 func (s *State) applyDispatch(e Entry) Result {
 	name := ""
 	switch {
@@ -95,10 +95,10 @@
 		s.LastFence++
 		w.Progress, w.Owner, w.Incarnation, w.Fence, w.LastTriedMs = Claimed, e.Claim.Name, e.Claim.Incarnation, s.LastFence, e.At
 	case e.Outcome != nil && e.Outcome.Done:
-		if !exists { // it was withdrawn meanwhile
+		if !exists { // it was withdrawn in the meantime
 			return Result{Refused: "no such dispatch"}
 		}
-		w.Progress, w.Reason = Done, "" // the receiver has it, whoever sent it
+		w.Progress, w.Reason = Done, "" // the receiver has it, whichever owner sent it
 	case e.Outcome != nil:
 		if w.Progress != Claimed || w.Fence != e.Outcome.Fence {
 			return Result{Refused: "another has it by now"}
@@ -121,7 +121,7 @@
 	return Result{}
 }
 
-// tidyWork forgets dispatches that were withdrawn, unless their owner may be sending them yet.
+// removeWithdrawn removes dispatches that were withdrawn, unless their owner may still be sending them.
 func (s *State) removeWithdrawn() {
 	maps.DeleteFunc(s.Dispatches, func(name string, w DispatchState) bool {
 		_, planned := s.Book.Document.Rules.Dispatches[name]
@@ -129,7 +129,7 @@
 	})
 }
 
-// calendar is what operators know of a site.
+// plannedOutages returns the outages of a site that operators have entered.
 func (s *State) plannedOutages(site string) []contact.Span {
 	var out []contact.Span
 	for _, o := range s.Book.Document.Rules.Sites[site].Outages {
@@ -138,7 +138,7 @@
 	return out
 }
 
-// place is a site as plans see it.
+// siteForecast provides a site's forecasts to the planning of dispatches (schedule.Site).
 type siteForecast struct {
 	state *State
 	name  string
@@ -162,10 +162,10 @@
 	return x.State == contact.Up, x.Since, x.Seen
 }
 
-// seenEvery is how often what is met at a site is written down where it stays as it is.
+// observationInterval is how often an unchanged state of a site is recorded.
 const observationInterval = time.Minute
 
-// dueWork is what is due of sites and of planned work.
+// dueDispatchEntries returns the entries about sites and dispatches that a leader should propose now.
 func (s *State) dueDispatchEntries(w LeaderView) []Entry {
 	var out []Entry
 	observed := map[string]contact.State{}
@@ -213,8 +213,9 @@
 	return out
 }
 
-// owner picks the dispatcher for a try: one that is heard and holds the present version, at the site itself where there
-// is one, with the fewest claims; after a failure another one.
+// chooseOwner returns the dispatcher for a try: one that has sent beats, has applied the current version and holds a lease
+// that may be in force. It prefers a dispatcher other than the last owner, then one at the site itself, then the one with
+// the fewest claims. It returns an empty name if there is none.
 func (s *State) chooseOwner(w LeaderView, dispatch string, claims map[string]int) string {
 	d := s.Book.Document.Rules.Dispatches[dispatch]
 	var candidates []string
@@ -245,7 +246,7 @@
 	})
 }
 
-// Tasks are the claims of one life of a dispatcher, in order of their names.
+// Tasks returns the claims of one incarnation of a dispatcher, sorted by dispatch.
 func (s *State) Tasks(name string, incarnation uint64) []Task {
 	var out []Task
 	for _, d := range slices.Sorted(maps.Keys(s.Dispatches)) {
@@ -257,23 +258,23 @@
 	return out
 }
 
-// Task is a claim as its owner is told of it.
+// Task is a claim as it is sent to its owner.
 type Task struct {
 	Dispatch string       `json:"dispatch"`
 	Fence    uint64       `json:"fence"`
 	Work     ruleset.Work `json:"work"`
 }
 
-// Reach is what is known of a site.
+// SiteStatus tells whether a site is reached now and is likely to be in an hour.
 type SiteStatus struct {
-	State       string  `json:"state"` // as it was seen last: up or down
+	State       string  `json:"state"` // when last observed: up or down
 	SinceMs     int64   `json:"since_ms"`
 	LastSeenMs  int64   `json:"seen_ms"`
-	HasForecast bool    `json:"known"` // there is evidence enough to plan by it
-	UpInAnHour  float64 `json:"in_an_hour"`
+	HasForecast bool    `json:"known"`      // there is enough evidence for a forecast
+	UpInAnHour  float64 `json:"in_an_hour"` // probability
 }
 
-// Reached tells of all sites that were ever seen.
+// SiteStatuses returns the status of every site that was ever observed.
 func (s *State) SiteStatuses(now int64) map[string]SiteStatus {
 	out := map[string]SiteStatus{}
 	for name, x := range s.Contacts.Sites {
@@ -287,9 +288,9 @@
 	return out
 }
 
-// Lease is how long a lease a dispatcher at a site gets now. One at a site that is about to be cut off, by the operators'
-// calendar or by a forecast that is known, gets the longest there is: it can't ask again for a while. What that does to D
-// for this site is told with every answer about it.
+// LeaseLength returns the length of a lease that a dispatcher at a site gets now. At a site that is about to be cut off, by
+// the operators' calendar or by a forecast with enough evidence, it is the longest one, since the dispatcher will not be
+// able to renew it for a while. Every status of the cluster shows D for such a site (StalenessBounds).
 func (s *State) LeaseLength(t lease.Terms, site string, now int64) time.Duration {
 	if t.Longest <= t.Length || site == "" {
 		return t.Length
@@ -306,10 +307,10 @@
 	return t.Length
 }
 
-// aboutToGo is the chance to be reached under which a site counts as about to be cut off.
+// cutOffThreshold is the probability of being reached below which a site counts as about to be cut off.
 const cutOffThreshold = 0.5
 
-// Bounds is D for the sites whose dispatchers get longer leases now.
+// StalenessBounds returns D (lease.Terms.StalenessBound) for the sites whose dispatchers get longer leases now.
 func (s *State) StalenessBounds(t lease.Terms, now int64) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, m := range s.Members {
