--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -40,7 +40,7 @@
 // service of fixed capacity for all routers, and AskWithin is the time in which each of them has to ask. Otherwise an
 // agent of the router's own answers, and no service is shared.
 func ForDiscovery(s logic.Settings, seed uint64) Policy {
-	if !s.AskDiscovery || s.AskWithin <= 0 || s.Peers <= 1 {
+	if !s.WatchDiscovery || s.WatchWithin <= 0 || s.RouterCount <= 1 {
 		// What the agent receives when discovery is back counts as delivered at once. A pause as long as the drain grace
 		// would end only after that grace. Calls to the agent cost nothing, so short pauses do no harm.
 		policy := Policy{FirstPause: agentFirstPause, MaxPause: agentMaxPause, Seed: seed}
@@ -51,8 +51,8 @@
 	}
 	// Multiples of the golden ratio spread the slots evenly over the window for any subset of the routers.
 	_, slot := math.Modf(float64(s.Self) * goldenRatioFraction)
-	window := time.Duration(windowShare * float64(s.AskWithin))
-	return Policy{Window: window, MoveWindow: min(window, moveWindow), MaxWindow: time.Duration(maxWindowFactor * float64(s.AskWithin)),
+	window := time.Duration(windowShare * float64(s.WatchWithin))
+	return Policy{Window: window, MoveWindow: min(window, moveWindow), MaxWindow: time.Duration(maxWindowFactor * float64(s.WatchWithin)),
 		Slot: slot, Seed: seed}
 }
 
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -28,18 +28,18 @@
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
 
-	Ask      *ruleset.Ask `json:"ask,omitempty"`
-	Enrol    *Enrol       `json:"enrol,omitempty"`
-	Activate *Activate    `json:"open,omitempty"`
-	Confirm  *Confirm     `json:"confirm,omitempty"`
-	Forget   *Forget      `json:"forget,omitempty"`
-	Retire   *Retire      `json:"retire,omitempty"`
-	Elapsed  *Elapsed     `json:"passed,omitempty"`
-	Observed *Observed    `json:"seen,omitempty"`
-	Claim    *Claim       `json:"claim,omitempty"`
-	Outcome  *Outcome     `json:"ended,omitempty"`
-	Reclaim  *Reclaim     `json:"vacate,omitempty"`
-	Drop     *Drop        `json:"drop,omitempty"`
+	Ask      *ruleset.ChangeRequest `json:"ask,omitempty"`
+	Enrol    *Enrol                 `json:"enrol,omitempty"`
+	Activate *Activate              `json:"open,omitempty"`
+	Confirm  *Confirm               `json:"confirm,omitempty"`
+	Forget   *Forget                `json:"forget,omitempty"`
+	Retire   *Retire                `json:"retire,omitempty"`
+	Elapsed  *Elapsed               `json:"passed,omitempty"`
+	Observed *Observed              `json:"seen,omitempty"`
+	Claim    *Claim                 `json:"claim,omitempty"`
+	Outcome  *Outcome               `json:"ended,omitempty"`
+	Reclaim  *Reclaim               `json:"vacate,omitempty"`
+	Drop     *Drop                  `json:"drop,omitempty"`
 }
 
 // Enrol gives an incarnation to a dispatcher.
@@ -93,14 +93,14 @@
 
 // State is the whole replicated state. It is stored as JSON.
 type State struct {
-	Book            *ruleset.Book            `json:"book"`
+	Book            *ruleset.State           `json:"book"`
 	Members         map[string]lease.Member  `json:"members"`
 	LastIncarnation uint64                   `json:"lives"` // number of the last incarnation given
 	Confirmed       map[string]Confirmation  `json:"confirmed"`
 	CordonVersions  map[string]uint64        `json:"agreed"` // by cordon: the version that introduced it
 	Retired         map[string]Retire        `json:"retired,omitempty"`
 	RemainingMs     map[string]int64         `json:"left,omitempty"` // by cordon that expires: time until then
-	Contacts        *contact.Sites           `json:"contacts"`
+	Contacts        *contact.Forecaster      `json:"contacts"`
 	Dispatches      map[string]DispatchState `json:"work,omitempty"` // by dispatch name
 	LastFence       uint64                   `json:"fence"`          // fencing token of the latest claim
 
@@ -148,7 +148,7 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	if s.Book == nil || s.Contacts == nil || !s.Book.Document.Genuine() {
+	if s.Book == nil || s.Contacts == nil || !s.Book.Document.HasValidHash() {
 		return nil, errors.New("record: not whole")
 	}
 	return s, nil
@@ -168,7 +168,7 @@
 	before := s.Book.Document.Head.Version
 	r := s.apply(e, term)
 	if s.Book.Document.Head.Version != before {
-		step := s.Book.Last()
+		step := s.Book.LastStep()
 		r.Step = &step
 		s.syncCordons()
 	}
@@ -184,12 +184,12 @@
 	}
 	switch {
 	case e.Ask != nil:
-		a := s.Book.Ask(*e.Ask, e.At)
+		a := s.Book.Submit(*e.Ask, e.At)
 		return Result{Answer: a, Refused: a.Refused}
 	case e.Enrol != nil:
 		return s.enrol(*e.Enrol)
 	case e.Activate != nil:
-		if err := s.Book.Open(e.Activate.Version, e.At); err != nil {
+		if err := s.Book.Activate(e.Activate.Version, e.At); err != nil {
 			return Result{Refused: err.Error()}
 		}
 	case e.Confirm != nil:
@@ -244,7 +244,7 @@
 // enrol gives a dispatcher its incarnation. When a process is killed and starts again under the same name, a lease of its
 // earlier incarnation may still be in force. So registrars wait for that incarnation as for a separate dispatcher.
 func (s *State) enrol(e Enrol) Result {
-	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxText || len(e.Token) > ruleset.MaxText || len(e.KnownKinds) > 64 ||
+	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxTextBytes || len(e.Token) > ruleset.MaxTextBytes || len(e.KnownKinds) > 64 ||
 		e.Mode != lease.Hold && e.Mode != lease.Serve {
 		return Result{Refused: "expected a name, a token and a mode"}
 	}
@@ -270,7 +270,7 @@
 
 // isLifting reports whether the lifting of a cordon is committed but not yet in force.
 func (s *State) isLifting(id string) bool {
-	return slices.ContainsFunc(s.Book.Document.Waiting, func(w ruleset.Waiting) bool {
+	return slices.ContainsFunc(s.Book.Document.Pending, func(w ruleset.PendingChange) bool {
 		return w.Change.Kind == ruleset.KindLift && w.Change.Name == id
 	})
 }
@@ -296,12 +296,12 @@
 			s.CordonVersions[id] = d.Head.Version
 		}
 	}
-	for _, c := range s.Book.Last().Changes { // including a cordon that already exists and is requested again
+	for _, c := range s.Book.LastStep().Changes { // including a cordon that already exists and is requested again
 		if c.Kind != ruleset.KindCordon {
 			continue
 		}
-		if delete(s.RemainingMs, c.Cordon.ID()); c.For > 0 {
-			s.RemainingMs[c.Cordon.ID()] = c.For
+		if delete(s.RemainingMs, c.Cordon.ID()); c.DurationMs > 0 {
+			s.RemainingMs[c.Cordon.ID()] = c.DurationMs
 		}
 	}
 }
@@ -309,7 +309,7 @@
 // CordonStatus tells how far a cordon has been put into effect.
 type CordonStatus struct {
 	ID string `json:"id"`
-	cordon.Order
+	cordon.Cordon
 	Version    uint64            `json:"version"` // that introduced it
 	State      cordon.State      `json:"state"`
 	Confirmed  *Confirmation     `json:"confirmed,omitempty"`
@@ -321,10 +321,10 @@
 // LeaderView is what a leader knows at a given time in addition to the replicated state.
 type LeaderView struct {
 	Leases      *lease.Tracker
-	Now         time.Duration              // on the leader's clock
-	ListServers func() []cordon.Server     // merged from the lists of all dispatchers
-	Reports     map[string][]cordon.Report // by dispatcher: its recent evidence on servers
-	AutoCordon  cordon.Auto
+	Now         time.Duration                // on the leader's clock
+	ListServers func() []cordon.Server       // merged from the lists of all dispatchers
+	Reports     map[string][]cordon.Evidence // by dispatcher: its recent evidence on servers
+	AutoCordon  cordon.AutoPolicy
 	SiteStates  map[string]contact.State // by site: whether dispatchers could reach it recently, merged from all reports
 	UnixMs      int64                    // wall-clock time
 	Schedule    schedule.Settings
@@ -335,7 +335,7 @@
 func (s *State) Cordons(w LeaderView) []CordonStatus {
 	var out []CordonStatus
 	for _, id := range slices.Sorted(maps.Keys(s.Book.Document.Rules.Cordons)) {
-		c := CordonStatus{ID: id, Order: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Reaching, Total: s.enrolledCount()}
+		c := CordonStatus{ID: id, Cordon: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Propagating, Total: s.enrolledCount()}
 		c.Stragglers = w.Leases.Stragglers(w.Now, s.Members, c.Version)
 		c.Reached = c.Total
 		for _, m := range c.Stragglers {
@@ -374,11 +374,11 @@
 	var out []Entry
 	d := &s.Book.Document
 	for _, c := range s.Cordons(w) {
-		if c.State == cordon.Reaching && len(c.Stragglers) == 0 {
+		if c.State == cordon.Propagating && len(c.Stragglers) == 0 {
 			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.dispatchersBehind(w, c.Version)}})
 		}
 	}
-	if v := s.Book.Ready(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
+	if v := s.Book.NewestPending(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
 		return m.Remaining > 0 // a dispatcher in mode serve without a lease stays at its last version and is not waited for
 	}) {
 		out = append(out, Entry{Activate: &Activate{Version: v}})
@@ -391,19 +391,19 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.RemainingMs)) {
 		if s.RemainingMs[id] == 0 && !s.isLifting(id) {
-			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), Base: d.Head.Version,
+			out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), BaseVersion: d.Head.Version,
 				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
 			break // the next one has to be based on the version that this one makes
 		}
 	}
 	out = append(out, s.dueDispatchEntries(w)...)
-	for _, host := range w.AutoCordon.Suspects(w.Reports, d.Rules.Cordons) {
-		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
+	for _, host := range w.AutoCordon.Outliers(w.Reports, d.Rules.Cordons) {
+		if s.Book.Budget.Check(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
 			continue // it would be refused each time
 		}
-		out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), Base: d.Head.Version,
+		out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), BaseVersion: d.Head.Version,
 			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.ListServers(),
-			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Auto: true}}}})
+			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Automatic: true}}}})
 		break
 	}
 	return out
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -145,16 +145,16 @@
 	now   int64
 }
 
-func (p siteForecast) Up(at int64) (float64, bool) {
+func (p siteForecast) UpProbability(at int64) (float64, bool) {
 	f := p.state.Contacts.Forecast(p.now, at, p.name, p.state.plannedOutages(p.name))
-	return f.Up, f.Known
+	return f.UpProbability, f.HasEvidence
 }
 
-func (p siteForecast) Lasts(at int64, d time.Duration) float64 {
-	return p.state.Contacts.Lasts(p.now, at, p.name, d)
+func (p siteForecast) StayUpProbability(at int64, d time.Duration) float64 {
+	return p.state.Contacts.StayUpProbability(p.now, at, p.name, d)
 }
 
-func (p siteForecast) Reached() (bool, int64, int64) {
+func (p siteForecast) LastObservation() (bool, int64, int64) {
 	x := p.state.Contacts.Sites[p.name]
 	if x == nil {
 		return false, 0, -1
@@ -193,7 +193,7 @@
 			continue
 		}
 		jobs = append(jobs, schedule.Job{ID: name, Site: d.Site, Earliest: d.Earliest, Latest: d.Latest, Worth: d.Worth,
-			Took: time.Duration(d.TookMs * float64(time.Millisecond)), Tried: x.LastTriedMs, Fails: x.Failures, Out: x.Progress == Claimed})
+			ExpectedDuration: time.Duration(d.ExpectedDurationMs * float64(time.Millisecond)), LastTriedMs: x.LastTriedMs, FailedTries: x.Failures, InFlight: x.Progress == Claimed})
 	}
 	if len(jobs) == 0 {
 		return out
@@ -202,7 +202,7 @@
 	for _, step := range steps {
 		switch step.Verdict {
 		case schedule.GiveUp:
-			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Reason: step.Why}})
+			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Reason: step.Reason}})
 		case schedule.Try:
 			if name := s.chooseOwner(w, step.Job, claims); name != "" {
 				claims[name]++
@@ -260,9 +260,9 @@
 
 // Task is a claim as it is sent to its owner.
 type Task struct {
-	Dispatch string       `json:"dispatch"`
-	Fence    uint64       `json:"fence"`
-	Work     ruleset.Work `json:"work"`
+	Dispatch string           `json:"dispatch"`
+	Fence    uint64           `json:"fence"`
+	Work     ruleset.Dispatch `json:"work"`
 }
 
 // SiteStatus tells whether a site is reached now and is likely to be in an hour.
@@ -279,7 +279,7 @@
 	out := map[string]SiteStatus{}
 	for name, x := range s.Contacts.Sites {
 		f := s.Contacts.Forecast(now, now+time.Hour.Milliseconds(), name, s.plannedOutages(name))
-		r := SiteStatus{State: "up", SinceMs: x.Since, LastSeenMs: x.Seen, HasForecast: f.Known, UpInAnHour: f.Up}
+		r := SiteStatus{State: "up", SinceMs: x.Since, LastSeenMs: x.Seen, HasForecast: f.HasEvidence, UpInAnHour: f.UpProbability}
 		if x.State == contact.Down {
 			r.State = "down"
 		}
@@ -301,7 +301,7 @@
 			return t.Longest
 		}
 	}
-	if f := s.Contacts.Forecast(now, horizon, site, nil); f.Known && f.Up < cutOffThreshold {
+	if f := s.Contacts.Forecast(now, horizon, site, nil); f.HasEvidence && f.UpProbability < cutOffThreshold {
 		return t.Longest
 	}
 	return t.Length
