--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -28,18 +28,18 @@
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
 
-	Ask      *ruleset.ChangeRequest `json:"ask,omitempty"`
-	Enrol    *Enrol                 `json:"enrol,omitempty"`
-	Activate *Activate              `json:"open,omitempty"`
-	Confirm  *Confirm               `json:"confirm,omitempty"`
-	Forget   *Forget                `json:"forget,omitempty"`
-	Retire   *Retire                `json:"retire,omitempty"`
-	Elapsed  *Elapsed               `json:"passed,omitempty"`
-	Observed *Observed              `json:"seen,omitempty"`
-	Claim    *Claim                 `json:"claim,omitempty"`
-	Outcome  *Outcome               `json:"ended,omitempty"`
-	Reclaim  *Reclaim               `json:"vacate,omitempty"`
-	Drop     *Drop                  `json:"drop,omitempty"`
+	ChangeRequest *ruleset.ChangeRequest `json:"ask,omitempty"`
+	Enrol         *Enrol                 `json:"enrol,omitempty"`
+	Activate      *Activate              `json:"open,omitempty"`
+	Confirm       *Confirm               `json:"confirm,omitempty"`
+	Forget        *Forget                `json:"forget,omitempty"`
+	Retire        *Retire                `json:"retire,omitempty"`
+	Elapsed       *Elapsed               `json:"passed,omitempty"`
+	Observed      *Observed              `json:"seen,omitempty"`
+	Claim         *Claim                 `json:"claim,omitempty"`
+	Outcome       *Outcome               `json:"ended,omitempty"`
+	Reclaim       *Reclaim               `json:"vacate,omitempty"`
+	Drop          *Drop                  `json:"drop,omitempty"`
 }
 
 // Enrol gives an incarnation to a dispatcher.
@@ -93,14 +93,14 @@
 
 // State is the whole replicated state. It is stored as JSON.
 type State struct {
-	Book            *ruleset.State           `json:"book"`
+	Ruleset         *ruleset.State           `json:"book"`
 	Members         map[string]lease.Member  `json:"members"`
 	LastIncarnation uint64                   `json:"lives"` // number of the last incarnation given
 	Confirmed       map[string]Confirmation  `json:"confirmed"`
 	CordonVersions  map[string]uint64        `json:"agreed"` // by cordon: the version that introduced it
 	Retired         map[string]Retire        `json:"retired,omitempty"`
 	RemainingMs     map[string]int64         `json:"left,omitempty"` // by cordon that expires: time until then
-	Contacts        *contact.Forecaster      `json:"contacts"`
+	Forecaster      *contact.Forecaster      `json:"contacts"`
 	Dispatches      map[string]DispatchState `json:"work,omitempty"` // by dispatch name
 	LastFence       uint64                   `json:"fence"`          // fencing token of the latest claim
 
@@ -137,18 +137,18 @@
 
 // New returns the state before its first entry.
 func New(budget cordon.Budget, coldMs int64) *State {
-	return &State{Book: ruleset.New(budget, coldMs), Members: map[string]lease.Member{}, Confirmed: map[string]Confirmation{},
-		CordonVersions: map[string]uint64{}, Retired: map[string]Retire{}, RemainingMs: map[string]int64{}, Contacts: contact.New(), Dispatches: map[string]DispatchState{}}
+	return &State{Ruleset: ruleset.New(budget, coldMs), Members: map[string]lease.Member{}, Confirmed: map[string]Confirmation{},
+		CordonVersions: map[string]uint64{}, Retired: map[string]Retire{}, RemainingMs: map[string]int64{}, Forecaster: contact.New(), Dispatches: map[string]DispatchState{}}
 }
 
 // Restore reads a state from a snapshot.
 func Restore(text []byte) (*State, error) {
 	s := New(cordon.Budget{}, 0)
-	s.Book = nil
+	s.Ruleset = nil
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	if s.Book == nil || s.Contacts == nil || !s.Book.Document.HasValidHash() {
+	if s.Ruleset == nil || s.Forecaster == nil || !s.Ruleset.Document.HasValidHash() {
 		return nil, errors.New("record: not whole")
 	}
 	return s, nil
@@ -165,10 +165,10 @@
 // Apply applies one committed entry, which was appended to the log in the given term. An entry written by a later build
 // may have parts that this build does not know. It must not be skipped silently, so Decode refuses it.
 func (s *State) Apply(e Entry, term uint64) Result {
-	before := s.Book.Document.Head.Version
+	before := s.Ruleset.Document.Head.Version
 	r := s.apply(e, term)
-	if s.Book.Document.Head.Version != before {
-		step := s.Book.LastStep()
+	if s.Ruleset.Document.Head.Version != before {
+		step := s.Ruleset.LastStep()
 		r.Step = &step
 		s.syncCordons()
 	}
@@ -183,13 +183,13 @@
 		return Result{Refused: fmt.Sprintf("judged in term %d, agreed in term %d", e.Term, term)}
 	}
 	switch {
-	case e.Ask != nil:
-		a := s.Book.Submit(*e.Ask, e.At)
+	case e.ChangeRequest != nil:
+		a := s.Ruleset.Submit(*e.ChangeRequest, e.At)
 		return Result{Answer: a, Refused: a.Refused}
 	case e.Enrol != nil:
 		return s.enrol(*e.Enrol)
 	case e.Activate != nil:
-		if err := s.Book.Activate(e.Activate.Version, e.At); err != nil {
+		if err := s.Ruleset.Activate(e.Activate.Version, e.At); err != nil {
 			return Result{Refused: err.Error()}
 		}
 	case e.Confirm != nil:
@@ -205,7 +205,7 @@
 		}
 	case e.Observed != nil:
 		for _, name := range slices.Sorted(maps.Keys(e.Observed.States)) {
-			s.Contacts.Observe(e.At, name, e.Observed.States[name], s.plannedOutages(name))
+			s.Forecaster.Observe(e.At, name, e.Observed.States[name], s.plannedOutages(name))
 		}
 	case e.Claim != nil || e.Outcome != nil || e.Reclaim != nil || e.Drop != nil:
 		return s.applyDispatch(e)
@@ -270,14 +270,14 @@
 
 // isLifting reports whether the lifting of a cordon is committed but not yet in force.
 func (s *State) isLifting(id string) bool {
-	return slices.ContainsFunc(s.Book.Document.Pending, func(w ruleset.PendingChange) bool {
+	return slices.ContainsFunc(s.Ruleset.Document.Pending, func(w ruleset.PendingChange) bool {
 		return w.Change.Kind == ruleset.KindLift && w.Change.Name == id
 	})
 }
 
 // syncCordons updates the state of cordons and dispatches after a new version of the rules.
 func (s *State) syncCordons() {
-	d := &s.Book.Document
+	d := &s.Ruleset.Document
 	for id := range s.CordonVersions {
 		if _, ok := d.Rules.Cordons[id]; !ok {
 			delete(s.CordonVersions, id)
@@ -296,7 +296,7 @@
 			s.CordonVersions[id] = d.Head.Version
 		}
 	}
-	for _, c := range s.Book.LastStep().Changes { // including a cordon that already exists and is requested again
+	for _, c := range s.Ruleset.LastStep().Changes { // including a cordon that already exists and is requested again
 		if c.Kind != ruleset.KindCordon {
 			continue
 		}
@@ -323,7 +323,7 @@
 	Leases      *lease.Tracker
 	Now         time.Duration                // on the leader's clock
 	ListServers func() []cordon.Server       // merged from the lists of all dispatchers
-	Reports     map[string][]cordon.Evidence // by dispatcher: its recent evidence on servers
+	Evidence    map[string][]cordon.Evidence // by dispatcher: its recent evidence on servers
 	AutoCordon  cordon.AutoPolicy
 	SiteStates  map[string]contact.State // by site: whether dispatchers could reach it recently, merged from all reports
 	UnixMs      int64                    // wall-clock time
@@ -334,8 +334,8 @@
 // Cordons returns the status of all cordons, sorted by ID.
 func (s *State) Cordons(w LeaderView) []CordonStatus {
 	var out []CordonStatus
-	for _, id := range slices.Sorted(maps.Keys(s.Book.Document.Rules.Cordons)) {
-		c := CordonStatus{ID: id, Cordon: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Propagating, Total: s.enrolledCount()}
+	for _, id := range slices.Sorted(maps.Keys(s.Ruleset.Document.Rules.Cordons)) {
+		c := CordonStatus{ID: id, Cordon: s.Ruleset.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Propagating, Total: s.enrolledCount()}
 		c.Stragglers = w.Leases.Stragglers(w.Now, s.Members, c.Version)
 		c.Reached = c.Total
 		for _, m := range c.Stragglers {
@@ -372,13 +372,13 @@
 // Due returns the entries that a leader should propose now, by the reports of its term.
 func (s *State) Due(w LeaderView) []Entry {
 	var out []Entry
-	d := &s.Book.Document
+	d := &s.Ruleset.Document
 	for _, c := range s.Cordons(w) {
 		if c.State == cordon.Propagating && len(c.Stragglers) == 0 {
 			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.dispatchersBehind(w, c.Version)}})
 		}
 	}
-	if v := s.Book.NewestPending(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
+	if v := s.Ruleset.NewestPending(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
 		return m.Remaining > 0 // a dispatcher in mode serve without a lease stays at its last version and is not waited for
 	}) {
 		out = append(out, Entry{Activate: &Activate{Version: v}})
@@ -391,17 +391,17 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.RemainingMs)) {
 		if s.RemainingMs[id] == 0 && !s.isLifting(id) {
-			out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), BaseVersion: d.Head.Version,
+			out = append(out, Entry{ChangeRequest: &ruleset.ChangeRequest{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), BaseVersion: d.Head.Version,
 				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
 			break // the next one has to be based on the version that this one makes
 		}
 	}
 	out = append(out, s.dueDispatchEntries(w)...)
-	for _, host := range w.AutoCordon.Outliers(w.Reports, d.Rules.Cordons) {
-		if s.Book.Budget.Check(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
+	for _, host := range w.AutoCordon.Outliers(w.Evidence, d.Rules.Cordons) {
+		if s.Ruleset.Budget.Check(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
 			continue // it would be refused each time
 		}
-		out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), BaseVersion: d.Head.Version,
+		out = append(out, Entry{ChangeRequest: &ruleset.ChangeRequest{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), BaseVersion: d.Head.Version,
 			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.ListServers(),
 			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Automatic: true}}}})
 		break
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -81,7 +81,7 @@
 	default:
 		name = e.Drop.Dispatch
 	}
-	_, planned := s.Book.Document.Rules.Dispatches[name]
+	_, planned := s.Ruleset.Document.Rules.Dispatches[name]
 	w, exists := s.Dispatches[name]
 	if !exists {
 		w.Progress = Free
@@ -124,7 +124,7 @@
 // removeWithdrawn removes dispatches that were withdrawn, unless their owner may still be sending them.
 func (s *State) removeWithdrawn() {
 	maps.DeleteFunc(s.Dispatches, func(name string, w DispatchState) bool {
-		_, planned := s.Book.Document.Rules.Dispatches[name]
+		_, planned := s.Ruleset.Document.Rules.Dispatches[name]
 		return !planned && w.Progress != Claimed
 	})
 }
@@ -132,7 +132,7 @@
 // plannedOutages returns the outages of a site that operators have entered.
 func (s *State) plannedOutages(site string) []contact.Span {
 	var out []contact.Span
-	for _, o := range s.Book.Document.Rules.Sites[site].Outages {
+	for _, o := range s.Ruleset.Document.Rules.Sites[site].Outages {
 		out = append(out, contact.Span{From: o.From, Until: o.Until})
 	}
 	return out
@@ -146,16 +146,16 @@
 }
 
 func (p siteForecast) UpProbability(at int64) (float64, bool) {
-	f := p.state.Contacts.Forecast(p.now, at, p.name, p.state.plannedOutages(p.name))
+	f := p.state.Forecaster.Forecast(p.now, at, p.name, p.state.plannedOutages(p.name))
 	return f.UpProbability, f.HasEvidence
 }
 
 func (p siteForecast) StayUpProbability(at int64, d time.Duration) float64 {
-	return p.state.Contacts.StayUpProbability(p.now, at, p.name, d)
+	return p.state.Forecaster.StayUpProbability(p.now, at, p.name, d)
 }
 
 func (p siteForecast) LastObservation() (bool, int64, int64) {
-	x := p.state.Contacts.Sites[p.name]
+	x := p.state.Forecaster.Sites[p.name]
 	if x == nil {
 		return false, 0, -1
 	}
@@ -170,7 +170,7 @@
 	var out []Entry
 	observed := map[string]contact.State{}
 	for site, state := range w.SiteStates {
-		if x := s.Contacts.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.UnixMs-x.Seen >= observationInterval.Milliseconds()) {
+		if x := s.Forecaster.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.UnixMs-x.Seen >= observationInterval.Milliseconds()) {
 			observed[site] = state
 		}
 	}
@@ -187,7 +187,7 @@
 			claims[x.Owner]++
 		}
 	}
-	for name, d := range s.Book.Document.Rules.Dispatches {
+	for name, d := range s.Ruleset.Document.Rules.Dispatches {
 		x := s.Dispatches[name]
 		if x.Progress == Done || x.Progress == Dropped {
 			continue
@@ -217,10 +217,10 @@
 // that may be in force. It prefers a dispatcher other than the last owner, then one at the site itself, then the one with
 // the fewest claims. It returns an empty name if there is none.
 func (s *State) chooseOwner(w LeaderView, dispatch string, claims map[string]int) string {
-	d := s.Book.Document.Rules.Dispatches[dispatch]
+	d := s.Ruleset.Document.Rules.Dispatches[dispatch]
 	var candidates []string
 	for name, m := range s.Members {
-		if _, held, reported := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && reported && held == s.Book.Document.Head.Version && !w.Leases.HasLapsed(w.Now, name, m.Incarnation) {
+		if _, held, reported := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && reported && held == s.Ruleset.Document.Head.Version && !w.Leases.HasLapsed(w.Now, name, m.Incarnation) {
 			candidates = append(candidates, name)
 		}
 	}
@@ -251,7 +251,7 @@
 	var out []Task
 	for _, d := range slices.Sorted(maps.Keys(s.Dispatches)) {
 		x := s.Dispatches[d]
-		if plan, ok := s.Book.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == incarnation {
+		if plan, ok := s.Ruleset.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == incarnation {
 			out = append(out, Task{Dispatch: d, Fence: x.Fence, Work: plan})
 		}
 	}
@@ -277,8 +277,8 @@
 // SiteStatuses returns the status of every site that was ever observed.
 func (s *State) SiteStatuses(now int64) map[string]SiteStatus {
 	out := map[string]SiteStatus{}
-	for name, x := range s.Contacts.Sites {
-		f := s.Contacts.Forecast(now, now+time.Hour.Milliseconds(), name, s.plannedOutages(name))
+	for name, x := range s.Forecaster.Sites {
+		f := s.Forecaster.Forecast(now, now+time.Hour.Milliseconds(), name, s.plannedOutages(name))
 		r := SiteStatus{State: "up", SinceMs: x.Since, LastSeenMs: x.Seen, HasForecast: f.HasEvidence, UpInAnHour: f.UpProbability}
 		if x.State == contact.Down {
 			r.State = "down"
@@ -301,7 +301,7 @@
 			return t.Longest
 		}
 	}
-	if f := s.Contacts.Forecast(now, horizon, site, nil); f.HasEvidence && f.UpProbability < cutOffThreshold {
+	if f := s.Forecaster.Forecast(now, horizon, site, nil); f.HasEvidence && f.UpProbability < cutOffThreshold {
 		return t.Longest
 	}
 	return t.Length
--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -235,7 +235,7 @@
 	if wrong := f.take(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
 		return wrong
 	}
-	v := f.wait(r, func(reply func(any)) any { return propose{statemachine.Entry{Ask: &a.ChangeRequest}, reply} })
+	v := f.wait(r, func(reply func(any)) any { return propose{statemachine.Entry{ChangeRequest: &a.ChangeRequest}, reply} })
 	if res, ok := v.(statemachine.Result); ok {
 		return res.Answer
 	}
@@ -321,7 +321,7 @@
 		return n.notLeader()
 	}
 	w := n.watch()
-	d := n.state.Book.Document
+	d := n.state.Ruleset.Document
 	s := accord.Status{Cluster: n.opts.Cluster, Role: n.shown.Load().state, Head: d.Head, Bound: n.opts.Terms.StalenessBound().String(), Rules: d.Rules,
 		Waiting: d.Pending, Work: n.state.Dispatches, Sites: n.state.SiteStatuses(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
 	for site, d := range n.state.StalenessBounds(n.opts.Terms, n.unix()) {
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -451,9 +451,9 @@
 
 // show lets other tasks see the newest version.
 func (n *node) show() {
-	s := &shown{document: n.state.Book.Document, registrars: n.state.Registrars, gone: n.state.FormerRegistrarIDs,
+	s := &shown{document: n.state.Ruleset.Document, registrars: n.state.Registrars, gone: n.state.FormerRegistrarIDs,
 		next: make(chan struct{}), state: accord.Role{Name: n.id.Name, Leader: n.leaderName(),
-			Leads: n.leading, Term: n.rn.BasicStatus().GetTerm(), Applied: n.applied, Version: n.state.Book.Document.Head.Version}}
+			Leads: n.leading, Term: n.rn.BasicStatus().GetTerm(), Applied: n.applied, Version: n.state.Ruleset.Document.Head.Version}}
 	if was := n.shown.Swap(s); was != nil {
 		close(was.next)
 	}
@@ -469,7 +469,7 @@
 	n.state, n.applied, n.conf, n.snapIndex = s, snap.Metadata.GetIndex(), snap.Metadata.ConfState, snap.Metadata.GetIndex()
 	n.lastTerm = snap.Metadata.GetTerm()
 	n.peers.use(s.Registrars)
-	n.log.Info("took the whole record from the leader", zap.Uint64("index", n.applied), zap.Uint64("version", s.Book.Document.Head.Version))
+	n.log.Info("took the whole record from the leader", zap.Uint64("index", n.applied), zap.Uint64("version", s.Ruleset.Document.Head.Version))
 	n.show()
 }
 
@@ -571,7 +571,7 @@
 	if m := n.state.Members[b.Name]; m.Incarnation != b.Life {
 		return accord.NewProblem(accord.CodeLife, "another life took its place")
 	}
-	d := n.state.Book.Document
+	d := n.state.Ruleset.Document
 	g := accord.Granted{Cluster: n.opts.Cluster, Leader: n.id.Name, Version: d.Head.Version, LeaseNs: int64(length),
 		WantList: b.List != "" && n.lists[b.Name].sum != b.List, Tasks: n.state.Tasks(b.Name, b.Life)}
 	if b.Holds != d.Head.Version {
@@ -590,16 +590,16 @@
 		reply(accord.NewProblem(accord.CodeBusy, "the leader has just been chosen, or has too much to do"))
 		return
 	}
-	if e.Ask != nil && e.Ask.Author != "" {
-		e.Ask.Evidence = nil
-		if slices.ContainsFunc(e.Ask.Changes, func(c ruleset.Change) bool { return c.Kind == ruleset.KindCordon }) {
+	if e.ChangeRequest != nil && e.ChangeRequest.Author != "" {
+		e.ChangeRequest.Evidence = nil
+		if slices.ContainsFunc(e.ChangeRequest.Changes, func(c ruleset.Change) bool { return c.Kind == ruleset.KindCordon }) {
 			// Danger: a leader that has just been chosen has heard no list yet, and would hold every server for unknown.
-			if e.Ask.Evidence = n.listed(); len(n.lists) == 0 && n.opts.Clock.Now() < n.led+n.opts.Terms.Length {
+			if e.ChangeRequest.Evidence = n.listed(); len(n.lists) == 0 && n.opts.Clock.Now() < n.led+n.opts.Terms.Length {
 				reply(accord.NewProblem(accord.CodeBusy, "no dispatcher has told this leader of the servers yet"))
 				return
 			}
 		}
-		if p := n.notUnderstood(e.Ask); p != nil {
+		if p := n.notUnderstood(e.ChangeRequest); p != nil {
 			reply(p)
 			return
 		}
@@ -669,7 +669,7 @@
 			met[name] = e.met
 		}
 	}
-	return statemachine.LeaderView{Leases: n.roll, Now: now, ListServers: n.listed, Reports: reports, AutoCordon: n.opts.Auto, Elapsed: now - n.counted,
+	return statemachine.LeaderView{Leases: n.roll, Now: now, ListServers: n.listed, Evidence: reports, AutoCordon: n.opts.Auto, Elapsed: now - n.counted,
 		SiteStates: contact.MergeEvidence(met), UnixMs: n.unix(), Schedule: n.opts.Planned}
 }
 
