--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -160,17 +160,17 @@
 
 // Print sends a piece of work under its key, with the fence of this claim, and tells whether the receiver has it.
 func (p printer) Print(ctx context.Context, t statemachine.Task) bool {
-	until := time.Now().Add(min(p.longest, max(time.Second, 4*time.Duration(t.Work.ExpectedDurationMs*float64(time.Millisecond)))))
-	if latest := time.UnixMilli(t.Work.Latest); latest.Before(until) {
+	until := time.Now().Add(min(p.longest, max(time.Second, 4*time.Duration(t.Plan.ExpectedDurationMs*float64(time.Millisecond)))))
+	if latest := time.UnixMilli(t.Plan.Latest); latest.Before(until) {
 		until = latest
 	}
 	joint := "?"
-	if strings.Contains(t.Work.Target, "?") {
+	if strings.Contains(t.Plan.Target, "?") {
 		joint = "&"
 	}
-	ex := exchange.New(exchange.Message{Method: http.MethodPost, Target: t.Work.Target + joint + "fence=" + strconv.FormatUint(t.Fence, 10),
-		ID: fmt.Sprintf("%s-%d", t.Dispatch, t.Fence), DedupKey: "dispatch-" + t.Dispatch, Body: []byte(t.Work.Body)},
-		exchange.Fields{Class: t.Work.Class, RequiredZone: t.Work.Site}, until)
+	ex := exchange.New(exchange.Message{Method: http.MethodPost, Target: t.Plan.Target + joint + "fence=" + strconv.FormatUint(t.Fence, 10),
+		ID: fmt.Sprintf("%s-%d", t.Dispatch, t.Fence), DedupKey: "dispatch-" + t.Dispatch, Body: []byte(t.Plan.Body)},
+		exchange.Fields{Class: t.Plan.Class, RequiredZone: t.Plan.Site}, until)
 	ex.DispatchID = t.Dispatch
 	if p.gateway.Submit(ex) != nil {
 		return false
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -20,9 +20,9 @@
 
 	drainGraceDivisor = 4 // the longest pause is the drain grace divided by this
 
-	windowShare         = 0.8             // part of AskWithin used for the window; the rest is for the answer
+	windowShare         = 0.8             // part of WatchWithin used for the window; the rest is for the answer
 	moveWindow          = 3 * time.Second // window after a move; 4 s after it, changes count as delivered in any case
-	maxWindowFactor     = 2.0             // of AskWithin; after a failure, four times AskWithin is granted
+	maxWindowFactor     = 2.0             // of WatchWithin; after a failure, four times WatchWithin is granted
 	goldenRatioFraction = 0.6180339887498949
 )
 
@@ -36,8 +36,8 @@
 	Seed                 uint64        // seed of the jitter
 }
 
-// ForDiscovery returns the policy for calls to discovery. Where routers have to ask it (Settings.AskDiscovery), it is one
-// service of fixed capacity for all routers, and AskWithin is the time in which each of them has to ask. Otherwise an
+// ForDiscovery returns the policy for calls to discovery. Where routers have to watch it (Settings.WatchDiscovery), it is one
+// service of fixed capacity for all routers, and WatchWithin is the time in which each of them has to call. Otherwise an
 // agent of the router's own answers, and no service is shared.
 func ForDiscovery(s logic.Settings, seed uint64) Policy {
 	if !s.WatchDiscovery || s.WatchWithin <= 0 || s.RouterCount <= 1 {
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -156,7 +156,7 @@
 
 // Result tells what applying an entry did.
 type Result struct {
-	Answer      ruleset.Answer // to an Ask
+	Answer      ruleset.Answer // to a change request
 	Incarnation uint64         // given to a dispatcher
 	Refused     string         // why the entry was not applied; empty: it was applied
 	Step        *ruleset.Step  // the step to the new version, if there is one
@@ -332,11 +332,11 @@
 }
 
 // Cordons returns the status of all cordons, sorted by ID.
-func (s *State) Cordons(w LeaderView) []CordonStatus {
+func (s *State) Cordons(view LeaderView) []CordonStatus {
 	var out []CordonStatus
 	for _, id := range slices.Sorted(maps.Keys(s.Ruleset.Document.Rules.Cordons)) {
 		c := CordonStatus{ID: id, Cordon: s.Ruleset.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Propagating, Total: s.enrolledCount()}
-		c.Stragglers = w.Leases.Stragglers(w.Now, s.Members, c.Version)
+		c.Stragglers = view.Leases.Stragglers(view.Now, s.Members, c.Version)
 		c.Reached = c.Total
 		for _, m := range c.Stragglers {
 			if s.Members[m.Name].Incarnation == m.Incarnation {
@@ -370,24 +370,24 @@
 const elapsedInterval = 2 * time.Second
 
 // Due returns the entries that a leader should propose now, by the reports of its term.
-func (s *State) Due(w LeaderView) []Entry {
+func (s *State) Due(view LeaderView) []Entry {
 	var out []Entry
 	d := &s.Ruleset.Document
-	for _, c := range s.Cordons(w) {
+	for _, c := range s.Cordons(view) {
 		if c.State == cordon.Propagating && len(c.Stragglers) == 0 {
-			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.dispatchersBehind(w, c.Version)}})
+			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.dispatchersBehind(view, c.Version)}})
 		}
 	}
-	if v := s.Ruleset.NewestPending(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
+	if v := s.Ruleset.NewestPending(); v > 0 && !slices.ContainsFunc(view.Leases.Stragglers(view.Now, s.Members, v), func(m lease.Straggler) bool {
 		return m.Remaining > 0 // a dispatcher in mode serve without a lease stays at its last version and is not waited for
 	}) {
 		out = append(out, Entry{Activate: &Activate{Version: v}})
 	}
-	if incarnations := w.Leases.LapsedIncarnations(w.Now, s.Members); len(incarnations) > 0 {
+	if incarnations := view.Leases.LapsedIncarnations(view.Now, s.Members); len(incarnations) > 0 {
 		out = append(out, Entry{Forget: &Forget{Incarnations: incarnations}})
 	}
-	if len(s.RemainingMs) > 0 && w.Elapsed >= elapsedInterval {
-		out = append(out, Entry{Elapsed: &Elapsed{Ms: w.Elapsed.Milliseconds()}})
+	if len(s.RemainingMs) > 0 && view.Elapsed >= elapsedInterval {
+		out = append(out, Entry{Elapsed: &Elapsed{Ms: view.Elapsed.Milliseconds()}})
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.RemainingMs)) {
 		if s.RemainingMs[id] == 0 && !s.isLifting(id) {
@@ -396,13 +396,13 @@
 			break // the next one has to be based on the version that this one makes
 		}
 	}
-	out = append(out, s.dueDispatchEntries(w)...)
-	for _, host := range w.AutoCordon.Outliers(w.Evidence, d.Rules.Cordons) {
-		if s.Ruleset.Budget.Check(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
+	out = append(out, s.dueDispatchEntries(view)...)
+	for _, host := range view.AutoCordon.Outliers(view.Evidence, d.Rules.Cordons) {
+		if s.Ruleset.Budget.Check(cordon.Target{Host: host}, d.Rules.Cordons, view.ListServers()) != nil {
 			continue // it would be refused each time
 		}
 		out = append(out, Entry{ChangeRequest: &ruleset.ChangeRequest{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), BaseVersion: d.Head.Version,
-			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.ListServers(),
+			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: view.ListServers(),
 			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Automatic: true}}}})
 		break
 	}
@@ -411,11 +411,11 @@
 
 // dispatchersBehind returns the enrolled dispatchers that have not reported a version as applied. For a cordon that is
 // about to be confirmed their leases have expired, so that they need not be waited for.
-func (s *State) dispatchersBehind(w LeaderView, version uint64) []string {
+func (s *State) dispatchersBehind(view LeaderView, version uint64) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		m := s.Members[name]
-		if _, held, reported := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && (!reported || held < version) {
+		if _, held, reported := view.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && (!reported || held < version) {
 			out = append(out, name)
 		}
 	}
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -60,11 +60,11 @@
 type DispatchState struct {
 	Progress    Progress `json:"progress"`
 	Owner       string   `json:"owner,omitempty"`
-	Incarnation uint64   `json:"life,omitempty"`
+	Incarnation uint64   `json:"life,omitempty"` // of the owner
 	Fence       uint64   `json:"fence,omitempty"`
 	LastTriedMs int64    `json:"tried_ms,omitempty"`
 	Failures    int      `json:"fails,omitempty"`
-	Reason      string   `json:"why,omitempty"`
+	Reason      string   `json:"why,omitempty"` // why it was given up
 	ChangedMs   int64    `json:"at_ms"`
 }
 
@@ -82,41 +82,41 @@
 		name = e.Drop.Dispatch
 	}
 	_, planned := s.Ruleset.Document.Rules.Dispatches[name]
-	w, exists := s.Dispatches[name]
+	dispatch, exists := s.Dispatches[name]
 	if !exists {
-		w.Progress = Free
+		dispatch.Progress = Free
 	}
-	isFinal := w.Progress == Done || w.Progress == Dropped
+	isFinal := dispatch.Progress == Done || dispatch.Progress == Dropped
 	switch {
 	case e.Claim != nil:
-		if m, ok := s.Members[e.Claim.Name]; !planned || w.Progress != Free || !ok || m.Incarnation != e.Claim.Incarnation || e.Claim.Incarnation == 0 {
+		if m, ok := s.Members[e.Claim.Name]; !planned || dispatch.Progress != Free || !ok || m.Incarnation != e.Claim.Incarnation || e.Claim.Incarnation == 0 {
 			return Result{Refused: "not to be claimed"}
 		}
 		s.LastFence++
-		w.Progress, w.Owner, w.Incarnation, w.Fence, w.LastTriedMs = Claimed, e.Claim.Name, e.Claim.Incarnation, s.LastFence, e.At
+		dispatch.Progress, dispatch.Owner, dispatch.Incarnation, dispatch.Fence, dispatch.LastTriedMs = Claimed, e.Claim.Name, e.Claim.Incarnation, s.LastFence, e.At
 	case e.Outcome != nil && e.Outcome.Done:
 		if !exists { // it was withdrawn in the meantime
 			return Result{Refused: "no such dispatch"}
 		}
-		w.Progress, w.Reason = Done, "" // the receiver has it, whichever owner sent it
+		dispatch.Progress, dispatch.Reason = Done, "" // the receiver has it, whichever owner sent it
 	case e.Outcome != nil:
-		if w.Progress != Claimed || w.Fence != e.Outcome.Fence {
+		if dispatch.Progress != Claimed || dispatch.Fence != e.Outcome.Fence {
 			return Result{Refused: "another has it by now"}
 		}
-		w.Progress, w.Failures = Free, w.Failures+1
+		dispatch.Progress, dispatch.Failures = Free, dispatch.Failures+1
 	case e.Reclaim != nil:
-		if w.Progress != Claimed || w.Fence != e.Reclaim.Fence {
+		if dispatch.Progress != Claimed || dispatch.Fence != e.Reclaim.Fence {
 			return Result{Refused: "another has it by now"}
 		}
-		w.Progress, w.Failures = Free, w.Failures+1
+		dispatch.Progress, dispatch.Failures = Free, dispatch.Failures+1
 	default:
-		if !planned || w.Progress == Claimed || isFinal {
+		if !planned || dispatch.Progress == Claimed || isFinal {
 			return Result{Refused: "not to be given up"}
 		}
-		w.Progress, w.Reason = Dropped, e.Drop.Reason
+		dispatch.Progress, dispatch.Reason = Dropped, e.Drop.Reason
 	}
-	w.ChangedMs = e.At
-	s.Dispatches[name] = w
+	dispatch.ChangedMs = e.At
+	s.Dispatches[name] = dispatch
 	s.removeWithdrawn()
 	return Result{}
 }
@@ -145,32 +145,35 @@
 	now   int64
 }
 
+// UpProbability implements schedule.Site.
 func (p siteForecast) UpProbability(at int64) (float64, bool) {
 	f := p.state.Forecaster.Forecast(p.now, at, p.name, p.state.plannedOutages(p.name))
 	return f.UpProbability, f.HasEvidence
 }
 
+// StayUpProbability implements schedule.Site.
 func (p siteForecast) StayUpProbability(at int64, d time.Duration) float64 {
 	return p.state.Forecaster.StayUpProbability(p.now, at, p.name, d)
 }
 
+// LastObservation implements schedule.Site.
 func (p siteForecast) LastObservation() (bool, int64, int64) {
-	x := p.state.Forecaster.Sites[p.name]
-	if x == nil {
+	site := p.state.Forecaster.Sites[p.name]
+	if site == nil {
 		return false, 0, -1
 	}
-	return x.State == contact.Up, x.Since, x.Seen
+	return site.State == contact.Up, site.Since, site.Seen
 }
 
 // observationInterval is how often an unchanged state of a site is recorded.
 const observationInterval = time.Minute
 
 // dueDispatchEntries returns the entries about sites and dispatches that a leader should propose now.
-func (s *State) dueDispatchEntries(w LeaderView) []Entry {
+func (s *State) dueDispatchEntries(view LeaderView) []Entry {
 	var out []Entry
 	observed := map[string]contact.State{}
-	for site, state := range w.SiteStates {
-		if x := s.Forecaster.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.UnixMs-x.Seen >= observationInterval.Milliseconds()) {
+	for site, state := range view.SiteStates {
+		if dispatch := s.Forecaster.Sites[site]; state != contact.Unknown && (dispatch == nil || dispatch.State != state || view.UnixMs-dispatch.Seen >= observationInterval.Milliseconds()) {
 			observed[site] = state
 		}
 	}
@@ -180,33 +183,33 @@
 	var jobs []schedule.Job
 	claims := map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(s.Dispatches)) {
-		if x := s.Dispatches[name]; x.Progress == Claimed {
-			if w.Leases.HasLapsed(w.Now, x.Owner, x.Incarnation) {
-				out = append(out, Entry{Reclaim: &Reclaim{Dispatch: name, Fence: x.Fence}})
+		if dispatch := s.Dispatches[name]; dispatch.Progress == Claimed {
+			if view.Leases.HasLapsed(view.Now, dispatch.Owner, dispatch.Incarnation) {
+				out = append(out, Entry{Reclaim: &Reclaim{Dispatch: name, Fence: dispatch.Fence}})
 			}
-			claims[x.Owner]++
+			claims[dispatch.Owner]++
 		}
 	}
-	for name, d := range s.Ruleset.Document.Rules.Dispatches {
-		x := s.Dispatches[name]
-		if x.Progress == Done || x.Progress == Dropped {
+	for name, planned := range s.Ruleset.Document.Rules.Dispatches {
+		dispatch := s.Dispatches[name]
+		if dispatch.Progress == Done || dispatch.Progress == Dropped {
 			continue
 		}
-		jobs = append(jobs, schedule.Job{ID: name, Site: d.Site, Earliest: d.Earliest, Latest: d.Latest, Worth: d.Worth,
-			ExpectedDuration: time.Duration(d.ExpectedDurationMs * float64(time.Millisecond)), LastTriedMs: x.LastTriedMs, FailedTries: x.Failures, InFlight: x.Progress == Claimed})
+		jobs = append(jobs, schedule.Job{ID: name, Site: planned.Site, Earliest: planned.Earliest, Latest: planned.Latest, Worth: planned.Worth,
+			ExpectedDuration: time.Duration(planned.ExpectedDurationMs * float64(time.Millisecond)), LastTriedMs: dispatch.LastTriedMs, FailedTries: dispatch.Failures, InFlight: dispatch.Progress == Claimed})
 	}
 	if len(jobs) == 0 {
 		return out
 	}
-	steps := w.Schedule.Plan(w.UnixMs, jobs, func(site string) schedule.Site { return siteForecast{s, site, w.UnixMs} })
-	for _, step := range steps {
-		switch step.Verdict {
+	decisions := view.Schedule.Plan(view.UnixMs, jobs, func(site string) schedule.Site { return siteForecast{s, site, view.UnixMs} })
+	for _, decision := range decisions {
+		switch decision.Verdict {
 		case schedule.GiveUp:
-			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Reason: step.Reason}})
+			out = append(out, Entry{Drop: &Drop{Dispatch: decision.Job, Reason: decision.Reason}})
 		case schedule.Try:
-			if name := s.chooseOwner(w, step.Job, claims); name != "" {
+			if name := s.chooseOwner(view, decision.Job, claims); name != "" {
 				claims[name]++
-				out = append(out, Entry{Claim: &Claim{Dispatch: step.Job, Name: name, Incarnation: s.Members[name].Incarnation}})
+				out = append(out, Entry{Claim: &Claim{Dispatch: decision.Job, Name: name, Incarnation: s.Members[name].Incarnation}})
 			}
 		}
 	}
@@ -216,11 +219,11 @@
 // chooseOwner returns the dispatcher for a try: one that has sent beats, has applied the current version and holds a lease
 // that may be in force. It prefers a dispatcher other than the last owner, then one at the site itself, then the one with
 // the fewest claims. It returns an empty name if there is none.
-func (s *State) chooseOwner(w LeaderView, dispatch string, claims map[string]int) string {
+func (s *State) chooseOwner(view LeaderView, dispatch string, claims map[string]int) string {
 	d := s.Ruleset.Document.Rules.Dispatches[dispatch]
 	var candidates []string
 	for name, m := range s.Members {
-		if _, held, reported := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && reported && held == s.Ruleset.Document.Head.Version && !w.Leases.HasLapsed(w.Now, name, m.Incarnation) {
+		if _, held, reported := view.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && reported && held == s.Ruleset.Document.Head.Version && !view.Leases.HasLapsed(view.Now, name, m.Incarnation) {
 			candidates = append(candidates, name)
 		}
 	}
@@ -252,7 +255,7 @@
 	for _, d := range slices.Sorted(maps.Keys(s.Dispatches)) {
 		x := s.Dispatches[d]
 		if plan, ok := s.Ruleset.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == incarnation {
-			out = append(out, Task{Dispatch: d, Fence: x.Fence, Work: plan})
+			out = append(out, Task{Dispatch: d, Fence: x.Fence, Plan: plan})
 		}
 	}
 	return out
@@ -262,7 +265,7 @@
 type Task struct {
 	Dispatch string           `json:"dispatch"`
 	Fence    uint64           `json:"fence"`
-	Work     ruleset.Dispatch `json:"work"`
+	Plan     ruleset.Dispatch `json:"work"`
 }
 
 // SiteStatus tells whether a site is reached now and is likely to be in an hour.
