--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -13,63 +13,63 @@
 	"merlinarch/internal/decide/schedule"
 )
 
-// Seen is what the dispatchers met at sites, pooled.
+// Observed records whether dispatchers could reach sites, merged from all reports.
 type Observed struct {
 	States map[string]contact.State `json:"states"`
 }
 
-// Claim gives a dispatch to a life of a dispatcher. It gets a fence, higher than any before: who was given the same work
-// earlier, and stood still meanwhile, is told from who has it now.
+// Claim gives a dispatch to an incarnation of a dispatcher. It gets a fencing token higher than any before, which
+// distinguishes the present owner from an earlier one that was paused in the meantime.
 type Claim struct {
 	Dispatch    string `json:"dispatch"`
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"life"`
 }
 
-// Ended is an owner's word on what became of its try.
+// Outcome is an owner's report on how its try ended.
 type Outcome struct {
 	Dispatch string `json:"dispatch"`
 	Fence    uint64 `json:"fence"`
-	Done     bool   `json:"done"` // the receiver has it; else nothing is known of the try
+	Done     bool   `json:"done"` // the receiver has it; if false, the result of the try is unknown
 }
 
-// Vacate takes a claim back, as its owner's lease is over.
+// Reclaim ends a claim because its owner's lease has expired.
 type Reclaim struct {
 	Dispatch string `json:"dispatch"`
 	Fence    uint64 `json:"fence"`
 }
 
-// Drop gives a dispatch up.
+// Drop gives up a dispatch.
 type Drop struct {
 	Dispatch string `json:"dispatch"`
 	Reason   string `json:"why"`
 }
 
-// Progress is how far a dispatch has got.
+// Progress is the state of a dispatch.
 type Progress string
 
-// Progress of dispatches.
+// States of a dispatch.
 const (
-	Free    Progress = "free"    // nobody has it
+	Free    Progress = "free"    // no dispatcher has claimed it
 	Claimed Progress = "claimed" // its owner may be sending it
 	Done    Progress = "done"    // the receiver has it
 	Dropped Progress = "dropped" // it was given up
 )
 
-// Work is a dispatch in the record.
+// DispatchState is a dispatch in the replicated state.
 type DispatchState struct {
 	Progress    Progress `json:"progress"`
 	Owner       string   `json:"owner,omitempty"`
-	Incarnation uint64   `json:"life,omitempty"`
+	Incarnation uint64   `json:"life,omitempty"` // of the owner
 	Fence       uint64   `json:"fence,omitempty"`
 	LastTriedMs int64    `json:"tried_ms,omitempty"`
 	Failures    int      `json:"fails,omitempty"`
-	Reason      string   `json:"why,omitempty"`
+	Reason      string   `json:"why,omitempty"` // why it was given up
 	ChangedMs   int64    `json:"at_ms"`
 }
 
-// work carries out an entry on a dispatch.
-func (s *State) work(e Entry) Result {
+// applyDispatch applies an entry about a dispatch.
+func (s *State) applyDispatch(e Entry) Result {
 	name := ""
 	switch {
 	case e.Claim != nil:
@@ -81,203 +81,207 @@
 	default:
 		name = e.Drop.Dispatch
 	}
-	_, planned := s.Book.Document.Rules.Dispatches[name]
-	w, there := s.Dispatches[name]
-	if !there {
-		w.Progress = Free
+	_, planned := s.Ruleset.Document.Rules.Dispatches[name]
+	dispatch, exists := s.Dispatches[name]
+	if !exists {
+		dispatch.Progress = Free
 	}
-	over := w.Progress == Done || w.Progress == Dropped
+	isFinal := dispatch.Progress == Done || dispatch.Progress == Dropped
 	switch {
 	case e.Claim != nil:
-		if m, ok := s.Members[e.Claim.Name]; !planned || w.Progress != Free || !ok || m.Incarnation != e.Claim.Incarnation || e.Claim.Incarnation == 0 {
+		if m, ok := s.Members[e.Claim.Name]; !planned || dispatch.Progress != Free || !ok || m.Incarnation != e.Claim.Incarnation || e.Claim.Incarnation == 0 {
 			return Result{Refused: "not to be claimed"}
 		}
 		s.LastFence++
-		w.Progress, w.Owner, w.Incarnation, w.Fence, w.LastTriedMs = Claimed, e.Claim.Name, e.Claim.Incarnation, s.LastFence, e.At
+		dispatch.Progress, dispatch.Owner, dispatch.Incarnation, dispatch.Fence, dispatch.LastTriedMs = Claimed, e.Claim.Name, e.Claim.Incarnation, s.LastFence, e.At
 	case e.Outcome != nil && e.Outcome.Done:
-		if !there { // it was withdrawn meanwhile
+		if !exists { // it was withdrawn in the meantime
 			return Result{Refused: "no such dispatch"}
 		}
-		w.Progress, w.Reason = Done, "" // the receiver has it, whoever sent it
+		dispatch.Progress, dispatch.Reason = Done, "" // the receiver has it, whichever owner sent it
 	case e.Outcome != nil:
-		if w.Progress != Claimed || w.Fence != e.Outcome.Fence {
+		if dispatch.Progress != Claimed || dispatch.Fence != e.Outcome.Fence {
 			return Result{Refused: "another has it by now"}
 		}
-		w.Progress, w.Failures = Free, w.Failures+1
+		dispatch.Progress, dispatch.Failures = Free, dispatch.Failures+1
 	case e.Reclaim != nil:
-		if w.Progress != Claimed || w.Fence != e.Reclaim.Fence {
+		if dispatch.Progress != Claimed || dispatch.Fence != e.Reclaim.Fence {
 			return Result{Refused: "another has it by now"}
 		}
-		w.Progress, w.Failures = Free, w.Failures+1
+		dispatch.Progress, dispatch.Failures = Free, dispatch.Failures+1
 	default:
-		if !planned || w.Progress == Claimed || over {
+		if !planned || dispatch.Progress == Claimed || isFinal {
 			return Result{Refused: "not to be given up"}
 		}
-		w.Progress, w.Reason = Dropped, e.Drop.Reason
+		dispatch.Progress, dispatch.Reason = Dropped, e.Drop.Reason
 	}
-	w.ChangedMs = e.At
-	s.Dispatches[name] = w
-	s.tidyWork()
+	dispatch.ChangedMs = e.At
+	s.Dispatches[name] = dispatch
+	s.removeWithdrawn()
 	return Result{}
 }
 
-// tidyWork forgets dispatches that were withdrawn, unless their owner may be sending them yet.
-func (s *State) tidyWork() {
+// removeWithdrawn removes dispatches that were withdrawn, unless their owner may still be sending them.
+func (s *State) removeWithdrawn() {
 	maps.DeleteFunc(s.Dispatches, func(name string, w DispatchState) bool {
-		_, planned := s.Book.Document.Rules.Dispatches[name]
+		_, planned := s.Ruleset.Document.Rules.Dispatches[name]
 		return !planned && w.Progress != Claimed
 	})
 }
 
-// calendar is what operators know of a site.
-func (s *State) calendar(site string) []contact.Span {
+// plannedOutages returns the outages of a site that operators have entered.
+func (s *State) plannedOutages(site string) []contact.Span {
 	var out []contact.Span
-	for _, o := range s.Book.Document.Rules.Sites[site].Outages {
+	for _, o := range s.Ruleset.Document.Rules.Sites[site].Outages {
 		out = append(out, contact.Span{From: o.From, Until: o.Until})
 	}
 	return out
 }
 
-// place is a site as plans see it.
-type place struct {
-	s    *State
-	name string
-	now  int64
+// siteForecast provides a site's forecasts to the planning of dispatches (schedule.Site).
+type siteForecast struct {
+	state *State
+	name  string
+	now   int64
 }
 
-func (p place) UpProbability(at int64) (float64, bool) {
-	f := p.s.Contacts.Forecast(p.now, at, p.name, p.s.calendar(p.name))
+// UpProbability implements schedule.Site.
+func (p siteForecast) UpProbability(at int64) (float64, bool) {
+	f := p.state.Forecaster.Forecast(p.now, at, p.name, p.state.plannedOutages(p.name))
 	return f.UpProbability, f.HasEvidence
 }
 
-func (p place) StayUpProbability(at int64, d time.Duration) float64 {
-	return p.s.Contacts.StayUpProbability(p.now, at, p.name, d)
+// StayUpProbability implements schedule.Site.
+func (p siteForecast) StayUpProbability(at int64, d time.Duration) float64 {
+	return p.state.Forecaster.StayUpProbability(p.now, at, p.name, d)
 }
 
-func (p place) LastObservation() (bool, int64, int64) {
-	x := p.s.Contacts.Sites[p.name]
-	if x == nil {
+// LastObservation implements schedule.Site.
+func (p siteForecast) LastObservation() (bool, int64, int64) {
+	site := p.state.Forecaster.Sites[p.name]
+	if site == nil {
 		return false, 0, -1
 	}
-	return x.State == contact.Up, x.Since, x.Seen
+	return site.State == contact.Up, site.Since, site.Seen
 }
 
-// seenEvery is how often what is met at a site is written down where it stays as it is.
-const seenEvery = time.Minute
+// observationInterval is how often an unchanged state of a site is recorded.
+const observationInterval = time.Minute
 
-// dueWork is what is due of sites and of planned work.
-func (s *State) dueWork(w LeaderView) []Entry {
+// dueDispatchEntries returns the entries about sites and dispatches that a leader should propose now.
+func (s *State) dueDispatchEntries(view LeaderView) []Entry {
 	var out []Entry
-	met := map[string]contact.State{}
-	for site, state := range w.SiteStates {
-		if x := s.Contacts.Sites[site]; state != contact.Unknown && (x == nil || x.State != state || w.UnixMs-x.Seen >= seenEvery.Milliseconds()) {
-			met[site] = state
+	observed := map[string]contact.State{}
+	for site, state := range view.SiteStates {
+		if dispatch := s.Forecaster.Sites[site]; state != contact.Unknown && (dispatch == nil || dispatch.State != state || view.UnixMs-dispatch.Seen >= observationInterval.Milliseconds()) {
+			observed[site] = state
 		}
 	}
-	if len(met) > 0 {
-		out = append(out, Entry{Observed: &Observed{States: met}})
+	if len(observed) > 0 {
+		out = append(out, Entry{Observed: &Observed{States: observed}})
 	}
 	var jobs []schedule.Job
-	busy := map[string]int{}
+	claims := map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(s.Dispatches)) {
-		if x := s.Dispatches[name]; x.Progress == Claimed {
-			if w.Leases.HasLapsed(w.Now, x.Owner, x.Incarnation) {
-				out = append(out, Entry{Reclaim: &Reclaim{Dispatch: name, Fence: x.Fence}})
+		if dispatch := s.Dispatches[name]; dispatch.Progress == Claimed {
+			if view.Leases.HasLapsed(view.Now, dispatch.Owner, dispatch.Incarnation) {
+				out = append(out, Entry{Reclaim: &Reclaim{Dispatch: name, Fence: dispatch.Fence}})
 			}
-			busy[x.Owner]++
+			claims[dispatch.Owner]++
 		}
 	}
-	for name, d := range s.Book.Document.Rules.Dispatches {
-		x := s.Dispatches[name]
-		if x.Progress == Done || x.Progress == Dropped {
+	for name, planned := range s.Ruleset.Document.Rules.Dispatches {
+		dispatch := s.Dispatches[name]
+		if dispatch.Progress == Done || dispatch.Progress == Dropped {
 			continue
 		}
-		jobs = append(jobs, schedule.Job{ID: name, Site: d.Site, Earliest: d.Earliest, Latest: d.Latest, Worth: d.Worth,
-			ExpectedDuration: time.Duration(d.ExpectedDurationMs * float64(time.Millisecond)), LastTriedMs: x.LastTriedMs, FailedTries: x.Failures, InFlight: x.Progress == Claimed})
+		jobs = append(jobs, schedule.Job{ID: name, Site: planned.Site, Earliest: planned.Earliest, Latest: planned.Latest, Worth: planned.Worth,
+			ExpectedDuration: time.Duration(planned.ExpectedDurationMs * float64(time.Millisecond)), LastTriedMs: dispatch.LastTriedMs, FailedTries: dispatch.Failures, InFlight: dispatch.Progress == Claimed})
 	}
 	if len(jobs) == 0 {
 		return out
 	}
-	steps := w.Schedule.Plan(w.UnixMs, jobs, func(site string) schedule.Site { return place{s, site, w.UnixMs} })
-	for _, step := range steps {
-		switch step.Verdict {
+	decisions := view.Schedule.Plan(view.UnixMs, jobs, func(site string) schedule.Site { return siteForecast{s, site, view.UnixMs} })
+	for _, decision := range decisions {
+		switch decision.Verdict {
 		case schedule.GiveUp:
-			out = append(out, Entry{Drop: &Drop{Dispatch: step.Job, Reason: step.Reason}})
+			out = append(out, Entry{Drop: &Drop{Dispatch: decision.Job, Reason: decision.Reason}})
 		case schedule.Try:
-			if name := s.owner(w, step.Job, busy); name != "" {
-				busy[name]++
-				out = append(out, Entry{Claim: &Claim{Dispatch: step.Job, Name: name, Incarnation: s.Members[name].Incarnation}})
+			if name := s.chooseOwner(view, decision.Job, claims); name != "" {
+				claims[name]++
+				out = append(out, Entry{Claim: &Claim{Dispatch: decision.Job, Name: name, Incarnation: s.Members[name].Incarnation}})
 			}
 		}
 	}
 	return out
 }
 
-// owner picks the dispatcher for a try: one that is heard and holds the present version, at the site itself where there
-// is one, with the fewest claims; after a failure another one.
-func (s *State) owner(w LeaderView, dispatch string, busy map[string]int) string {
-	d := s.Book.Document.Rules.Dispatches[dispatch]
-	var fit []string
+// chooseOwner returns the dispatcher for a try: one that has sent beats, has applied the current version and holds a lease
+// that may be in force. It prefers a dispatcher other than the last owner, then one at the site itself, then the one with
+// the fewest claims. It returns an empty name if there is none.
+func (s *State) chooseOwner(view LeaderView, dispatch string, claims map[string]int) string {
+	d := s.Ruleset.Document.Rules.Dispatches[dispatch]
+	var candidates []string
 	for name, m := range s.Members {
-		if _, holds, heard := w.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && heard && holds == s.Book.Document.Head.Version && !w.Leases.HasLapsed(w.Now, name, m.Incarnation) {
-			fit = append(fit, name)
+		if _, held, reported := view.Leases.LastBeat(name, m.Incarnation); m.Incarnation != 0 && reported && held == s.Ruleset.Document.Head.Version && !view.Leases.HasLapsed(view.Now, name, m.Incarnation) {
+			candidates = append(candidates, name)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	last := s.Dispatches[dispatch].Owner
-	rank := func(name string) (away, again int, h uint64) {
-		f := fnv.New64a()
-		f.Write([]byte(name + " " + dispatch))
+	lastOwner := s.Dispatches[dispatch].Owner
+	rank := func(name string) (offSite, repeated int, hash uint64) {
+		hasher := fnv.New64a()
+		hasher.Write([]byte(name + " " + dispatch))
 		if s.Members[name].Site != d.Site {
-			away = 1
+			offSite = 1
 		}
-		if name == last {
-			again = 1
+		if name == lastOwner {
+			repeated = 1
 		}
-		return away, again, f.Sum64()
+		return offSite, repeated, hasher.Sum64()
 	}
-	return slices.MinFunc(fit, func(a, b string) int {
-		awayA, againA, hashA := rank(a)
-		awayB, againB, hashB := rank(b)
-		return cmp.Or(cmp.Compare(againA, againB), cmp.Compare(awayA, awayB), cmp.Compare(busy[a], busy[b]), cmp.Compare(hashA, hashB))
+	return slices.MinFunc(candidates, func(a, b string) int {
+		offSiteA, repeatedA, hashA := rank(a)
+		offSiteB, repeatedB, hashB := rank(b)
+		return cmp.Or(cmp.Compare(repeatedA, repeatedB), cmp.Compare(offSiteA, offSiteB), cmp.Compare(claims[a], claims[b]), cmp.Compare(hashA, hashB))
 	})
 }
 
-// Tasks are the claims of one life of a dispatcher, in order of their names.
-func (s *State) Tasks(name string, life uint64) []Task {
+// Tasks returns the claims of one incarnation of a dispatcher, sorted by dispatch.
+func (s *State) Tasks(name string, incarnation uint64) []Task {
 	var out []Task
 	for _, d := range slices.Sorted(maps.Keys(s.Dispatches)) {
 		x := s.Dispatches[d]
-		if plan, ok := s.Book.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == life {
-			out = append(out, Task{Dispatch: d, Fence: x.Fence, Work: plan})
+		if plan, ok := s.Ruleset.Document.Rules.Dispatches[d]; ok && x.Progress == Claimed && x.Owner == name && x.Incarnation == incarnation {
+			out = append(out, Task{Dispatch: d, Fence: x.Fence, Plan: plan})
 		}
 	}
 	return out
 }
 
-// Task is a claim as its owner is told of it.
+// Task is a claim as it is sent to its owner.
 type Task struct {
 	Dispatch string           `json:"dispatch"`
 	Fence    uint64           `json:"fence"`
-	Work     ruleset.Dispatch `json:"work"`
+	Plan     ruleset.Dispatch `json:"work"`
 }
 
-// Reach is what is known of a site.
+// SiteStatus tells whether a site is reached now and is likely to be in an hour.
 type SiteStatus struct {
-	State       string  `json:"state"` // as it was seen last: up or down
+	State       string  `json:"state"` // when last observed: up or down
 	SinceMs     int64   `json:"since_ms"`
 	LastSeenMs  int64   `json:"seen_ms"`
-	HasForecast bool    `json:"known"` // there is evidence enough to plan by it
-	UpInAnHour  float64 `json:"in_an_hour"`
+	HasForecast bool    `json:"known"`      // there is enough evidence for a forecast
+	UpInAnHour  float64 `json:"in_an_hour"` // probability
 }
 
-// Reached tells of all sites that were ever seen.
+// SiteStatuses returns the status of every site that was ever observed.
 func (s *State) SiteStatuses(now int64) map[string]SiteStatus {
 	out := map[string]SiteStatus{}
-	for name, x := range s.Contacts.Sites {
-		f := s.Contacts.Forecast(now, now+time.Hour.Milliseconds(), name, s.calendar(name))
+	for name, x := range s.Forecaster.Sites {
+		f := s.Forecaster.Forecast(now, now+time.Hour.Milliseconds(), name, s.plannedOutages(name))
 		r := SiteStatus{State: "up", SinceMs: x.Since, LastSeenMs: x.Seen, HasForecast: f.HasEvidence, UpInAnHour: f.UpProbability}
 		if x.State == contact.Down {
 			r.State = "down"
@@ -287,29 +291,29 @@
 	return out
 }
 
-// Lease is how long a lease a dispatcher at a site gets now. One at a site that is about to be cut off, by the operators'
-// calendar or by a forecast that is known, gets the longest there is: it can't ask again for a while. What that does to D
-// for this site is told with every answer about it.
+// LeaseLength returns the length of a lease that a dispatcher at a site gets now. At a site that is about to be cut off, by
+// the operators' calendar or by a forecast with enough evidence, it is the longest one, since the dispatcher will not be
+// able to renew it for a while. Every status of the cluster shows D for such a site (StalenessBounds).
 func (s *State) LeaseLength(t lease.Terms, site string, now int64) time.Duration {
 	if t.Longest <= t.Length || site == "" {
 		return t.Length
 	}
-	soon := now + t.Longest.Milliseconds()
-	for _, o := range s.calendar(site) {
-		if o.From <= soon && now < o.Until {
+	horizon := now + t.Longest.Milliseconds()
+	for _, o := range s.plannedOutages(site) {
+		if o.From <= horizon && now < o.Until {
 			return t.Longest
 		}
 	}
-	if f := s.Contacts.Forecast(now, soon, site, nil); f.HasEvidence && f.UpProbability < aboutToGo {
+	if f := s.Forecaster.Forecast(now, horizon, site, nil); f.HasEvidence && f.UpProbability < cutOffThreshold {
 		return t.Longest
 	}
 	return t.Length
 }
 
-// aboutToGo is the chance to be reached under which a site counts as about to be cut off.
-const aboutToGo = 0.5
+// cutOffThreshold is the probability of being reached below which a site counts as about to be cut off.
+const cutOffThreshold = 0.5
 
-// Bounds is D for the sites whose dispatchers get longer leases now.
+// StalenessBounds returns D (lease.Terms.StalenessBound) for the sites whose dispatchers get longer leases now.
 func (s *State) StalenessBounds(t lease.Terms, now int64) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, m := range s.Members {
