--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -54,35 +54,35 @@
 // Pool makes one list of what several dispatchers list: a server is out if at least half of those that list it say so.
 // Danger: one dispatcher that is cut off by itself holds all servers for lost, and would use up every budget.
 func MergeLists(lists map[string][]Server) []Server {
-	type votes struct {
+	type tally struct {
 		Server
 		listed, out int
 	}
-	type life struct {
+	type incarnation struct {
 		host string
 		born int64
 	}
-	all := map[life]*votes{}
+	tallies := map[incarnation]*tally{}
 	for _, name := range slices.Sorted(maps.Keys(lists)) {
 		for _, s := range lists[name] {
-			v := all[life{s.Host, s.Born}]
-			if v == nil {
-				v = &votes{Server: s}
-				all[life{s.Host, s.Born}] = v
+			t := tallies[incarnation{s.Host, s.Born}]
+			if t == nil {
+				t = &tally{Server: s}
+				tallies[incarnation{s.Host, s.Born}] = t
 			}
-			v.listed++
+			t.listed++
 			if s.OutOfService {
-				v.out++
+				t.out++
 			}
 		}
 	}
-	var out []Server
-	for _, v := range all {
-		v.Server.OutOfService = 2*v.out >= v.listed
-		out = append(out, v.Server)
+	var merged []Server
+	for _, t := range tallies {
+		t.Server.OutOfService = 2*t.out >= t.listed
+		merged = append(merged, t.Server)
 	}
-	slices.SortFunc(out, func(a, b Server) int { return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Born, b.Born)) })
-	return out
+	slices.SortFunc(merged, func(a, b Server) int { return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Born, b.Born)) })
+	return merged
 }
 
 // Budget bounds what may be out of service together in one site and build.
@@ -104,7 +104,7 @@
 // Judge tells whether a cordon may be added to those that stand. One server of a group may always be out alone, however
 // small the group, unless it is the last of its class. Danger: two cordons asked for in one moment are each within the
 // budget; they are judged one after the other, each on those agreed before it, in the order of the record.
-func (b Budget) Check(t Target, standing map[string]Cordon, listed []Server) error {
+func (b Budget) Check(t Target, existing map[string]Cordon, listed []Server) error {
 	var target *Server
 	for i := range listed {
 		if t.Covers(listed[i].Host, listed[i].Born) {
@@ -115,15 +115,15 @@
 		return ErrUnknownServer
 	}
 	var total, out float64
-	others, classLeft := 0, 0
+	othersOut, classRemaining := 0, 0
 	for i := range listed {
 		s := &listed[i]
 		closed := s.OutOfService
-		for _, o := range standing {
+		for _, o := range existing {
 			closed = closed || o.Covers(s.Host, s.Born)
 		}
 		if s != target && !closed && s.Class == target.Class && s.Build == target.Build {
-			classLeft++
+			classRemaining++
 		}
 		if s.Site != target.Site || s.Build != target.Build {
 			continue
@@ -133,13 +133,13 @@
 			out += s.Weight
 		}
 		if s != target && closed {
-			others++
+			othersOut++
 		}
 	}
 	switch {
-	case classLeft == 0:
+	case classRemaining == 0:
 		return ErrLastServer
-	case others > 0 && out > b.Share*total*(1+1e-9):
+	case othersOut > 0 && out > b.Share*total*(1+1e-9):
 		return fmt.Errorf("%w: %.3g of %.3g, allowed %.3g", ErrOverBudget, out, total, b.Share*total)
 	}
 	return nil
@@ -164,23 +164,23 @@
 
 // keepReport is the part of what was told before that counts at the next beat: about the last 64 count, since a server that
 // fails is left alone for seconds between two attempts.
-const keepReport = 63.0 / 64
+const evidenceDecay = 63.0 / 64
 
 // Fold adds what a dispatcher tells now to what it told before, which counts for less and less.
-func AccumulateEvidence(before, now []Evidence) []Evidence {
-	sum := map[string]Evidence{}
-	for _, r := range before {
-		if r.Answered, r.Errors = r.Answered*keepReport, r.Errors*keepReport; r.Answered >= 0.5 {
-			sum[r.Host] = r
+func AccumulateEvidence(previous, latest []Evidence) []Evidence {
+	sums := map[string]Evidence{}
+	for _, r := range previous {
+		if r.Answered, r.Errors = r.Answered*evidenceDecay, r.Errors*evidenceDecay; r.Answered >= 0.5 {
+			sums[r.Host] = r
 		}
 	}
-	for _, r := range now {
-		s := sum[r.Host]
-		sum[r.Host] = Evidence{r.Host, s.Answered + r.Answered, s.Errors + r.Errors}
+	for _, r := range latest {
+		s := sums[r.Host]
+		sums[r.Host] = Evidence{r.Host, s.Answered + r.Answered, s.Errors + r.Errors}
 	}
-	out := slices.Collect(maps.Values(sum))
-	slices.SortFunc(out, func(a, b Evidence) int { return cmp.Compare(a.Host, b.Host) })
-	return out
+	merged := slices.Collect(maps.Values(sums))
+	slices.SortFunc(merged, func(a, b Evidence) int { return cmp.Compare(a.Host, b.Host) })
+	return merged
 }
 
 // Auto is when servers are cordoned by the dispatchers' own evidence.
@@ -194,45 +194,45 @@
 // Suspects lists the servers to cordon, the worst first. Danger: a cut link looks like a dead server to all behind it;
 // so only answers count, never silence, and a dispatcher to whom most servers seem bad blames none: its own way out, or
 // what all servers lean on, is at fault then.
-func (a AutoPolicy) Outliers(reports map[string][]Evidence, standing map[string]Cordon) []string {
+func (a AutoPolicy) Outliers(reports map[string][]Evidence, existing map[string]Cordon) []string {
 	if a.MinDispatchers <= 0 || a.MaxCordons <= 0 {
 		return nil
 	}
-	auto := 0
-	for _, o := range standing {
+	automatic := 0
+	for _, o := range existing {
 		if o.Automatic {
-			auto++
+			automatic++
 		}
 	}
-	agree := map[string]int{}
+	agreeing := map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(reports)) {
-		judged, bad := 0, []string{}
+		evaluated, failing := 0, []string{}
 		for _, r := range reports[name] {
 			if r.Answered < float64(max(1, a.MinAnswers)) {
 				continue
 			}
-			judged++
+			evaluated++
 			if r.Errors >= a.ErrorShare*r.Answered {
-				bad = append(bad, r.Host)
+				failing = append(failing, r.Host)
 			}
 		}
-		if 2*len(bad) >= judged {
+		if 2*len(failing) >= evaluated {
 			continue
 		}
-		for _, h := range bad {
-			agree[h]++
+		for _, h := range failing {
+			agreeing[h]++
 		}
 	}
-	var out []string
-	for h, n := range agree {
+	var outliers []string
+	for h, n := range agreeing {
 		closed := false
-		for _, o := range standing {
+		for _, o := range existing {
 			closed = closed || o.Host == h
 		}
 		if n >= a.MinDispatchers && !closed {
-			out = append(out, h)
+			outliers = append(outliers, h)
 		}
 	}
-	slices.SortFunc(out, func(x, y string) int { return cmp.Or(agree[y]-agree[x], cmp.Compare(x, y)) })
-	return out[:min(len(out), max(0, a.MaxCordons-auto))]
+	slices.SortFunc(outliers, func(x, y string) int { return cmp.Or(agreeing[y]-agreeing[x], cmp.Compare(x, y)) })
+	return outliers[:min(len(outliers), max(0, a.MaxCordons-automatic))]
 }
--- a/internal/decide/ruleset/ruleset.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -23,10 +23,10 @@
 
 // Bounds of the document and of an asking.
 const (
-	MaxRulesBytes = 64 << 10 // bytes of the rules, with what waits, as JSON
-	MaxChanges    = 64       // of one asking
-	MaxTextBytes  = 512      // bytes of a name, a reason or a key
-	keptKeys      = 4096     // answers that are kept for repeats
+	MaxRulesBytes    = 64 << 10 // bytes of the rules, with what waits, as JSON
+	MaxChanges       = 64       // of one asking
+	MaxTextBytes     = 512      // bytes of a name, a reason or a key
+	maxStoredAnswers = 4096     // answers that are kept for repeats
 )
 
 // Kind is a kind of change.
@@ -147,22 +147,22 @@
 
 // Needs lists the kinds of rules that a document holds, in order.
 func (d Document) RuleKinds() []string {
-	var out []string
-	need := func(k Kind, there bool) {
-		if there {
-			out = append(out, string(k))
+	var kinds []string
+	addIf := func(k Kind, present bool) {
+		if present {
+			kinds = append(kinds, string(k))
 		}
 	}
 	r := d.Rules
-	need(KindCeiling, r.Ceiling != nil)
-	need(KindCordon, len(r.Cordons) > 0)
-	need(KindDispatch, len(r.Dispatches) > 0)
-	need(KindExpect, len(r.Expected) > 0)
-	need(KindFreeze, r.Freeze != nil)
-	need(KindSite, len(r.Sites) > 0)
-	need(KindTenant, len(r.Tenants) > 0)
-	need(KindWorth, len(r.Worth) > 0)
-	return out
+	addIf(KindCeiling, r.Ceiling != nil)
+	addIf(KindCordon, len(r.Cordons) > 0)
+	addIf(KindDispatch, len(r.Dispatches) > 0)
+	addIf(KindExpect, len(r.Expected) > 0)
+	addIf(KindFreeze, r.Freeze != nil)
+	addIf(KindSite, len(r.Sites) > 0)
+	addIf(KindTenant, len(r.Tenants) > 0)
+	addIf(KindWorth, len(r.Worth) > 0)
+	return kinds
 }
 
 // Ask is what an operator, or the registrars themselves, want changed.
@@ -194,21 +194,21 @@
 )
 
 // kept is an answer for repeats.
-type kept struct {
+type storedAnswer struct {
 	Key    string `json:"key"`
-	Sum    string `json:"sum"` // of the asking
+	Digest string `json:"sum"` // of the asking
 	Answer Answer `json:"answer"`
 }
 
 // Book is the present version, and what it takes to judge the next. Every registrar's is the same.
 type State struct {
-	Document Document      `json:"document"`
-	Budget   cordon.Budget `json:"budget"`
-	ColdMs   int64         `json:"cold_ms"` // a server whose cordon was lifted is cold for so long
-	Answers  []kept        `json:"answers,omitempty"`
+	Document Document       `json:"document"`
+	Budget   cordon.Budget  `json:"budget"`
+	ColdMs   int64          `json:"cold_ms"` // a server whose cordon was lifted is cold for so long
+	Answers  []storedAnswer `json:"answers,omitempty"`
 
-	byKey map[string]int // index into Answers; made when first needed
-	last  Step
+	indexByKey map[string]int // index into Answers; made when first needed
+	lastStep   Step
 }
 
 // New is version 1, which holds nothing.
@@ -220,61 +220,61 @@
 }
 
 // errWrong is an asking that can't be.
-type errWrong string
+type errInvalid string
 
-func (e errWrong) Error() string { return string(e) }
+func (e errInvalid) Error() string { return string(e) }
 
 // check finds what is wrong with a change by itself.
-func (c Change) check() error {
-	wrong := func(format string, args ...any) error {
-		return errWrong(string(c.Kind) + ": " + fmt.Sprintf(format, args...))
+func (c Change) validate() error {
+	invalid := func(format string, args ...any) error {
+		return errInvalid(string(c.Kind) + ": " + fmt.Sprintf(format, args...))
 	}
 	if len(c.Name) > MaxTextBytes {
-		return wrong("the name is longer than %d bytes", MaxTextBytes)
+		return invalid("the name is longer than %d bytes", MaxTextBytes)
 	}
 	if c.Value != nil && (math.IsNaN(*c.Value) || math.IsInf(*c.Value, 0) || *c.Value < 0) {
-		return wrong("expected a number from 0, got %v", *c.Value)
+		return invalid("expected a number from 0, got %v", *c.Value)
 	}
 	switch c.Kind {
 	case KindCordon:
 		if c.Cordon == nil || c.Cordon.Host == "" || len(c.Cordon.Host) > MaxTextBytes || c.DurationMs < 0 {
-			return wrong("expected a host, and a time from 0")
+			return invalid("expected a host, and a time from 0")
 		}
 	case KindLift, KindTenant, KindWorth, KindWithdraw, KindExpect, KindDismiss:
 		if c.Name == "" {
-			return wrong("expected a name")
+			return invalid("expected a name")
 		}
 	case KindCeiling:
 		if c.Value != nil && *c.Value > 1 {
-			return wrong("expected 0 to 1, got %v", *c.Value)
+			return invalid("expected 0 to 1, got %v", *c.Value)
 		}
 	case KindFreeze, KindThaw:
 	case KindSite:
 		if c.Name == "" {
-			return wrong("expected a name")
+			return invalid("expected a name")
 		}
 		if c.Site != nil {
 			for _, s := range c.Site.Outages {
 				if s.Until <= s.From {
-					return wrong("an outage ends before it begins")
+					return invalid("an outage ends before it begins")
 				}
 			}
 		}
 	case KindDispatch:
 		if c.Name == "" || c.Dispatch == nil || c.Dispatch.Site == "" || c.Dispatch.Class == "" || c.Dispatch.Target == "" {
-			return wrong("expected a name, and work with site, class and target")
+			return invalid("expected a name, and work with site, class and target")
 		}
 		if w := c.Dispatch; w.Latest <= w.Earliest || !(w.Worth >= 0) || math.IsInf(w.Worth, 0) || !(w.ExpectedDurationMs >= 0) || math.IsInf(w.ExpectedDurationMs, 0) {
-			return wrong("expected a latest time after the earliest, and a worth and a time from 0")
+			return invalid("expected a latest time after the earliest, and a worth and a time from 0")
 		}
 	default:
-		return errWrong(fmt.Sprintf("no such kind of change: %.40q", string(c.Kind)))
+		return errInvalid(fmt.Sprintf("no such kind of change: %.40q", string(c.Kind)))
 	}
 	return nil
 }
 
 // about names what a change is about: a later change about the same thing takes the place of one that waits.
-func (c Change) about() string {
+func (c Change) subject() string {
 	switch c.Kind {
 	case KindCordon:
 		return "cordon " + c.Cordon.ID()
@@ -292,15 +292,15 @@
 }
 
 // lower tells whether a number takes away from what holds now; nil stands for no rule.
-func lower(next, now *float64, unset float64) bool {
-	a, b := unset, unset
+func isLower(next, now *float64, defaultValue float64) bool {
+	nextValue, nowValue := defaultValue, defaultValue
 	if next != nil {
-		a = *next
+		nextValue = *next
 	}
 	if now != nil {
-		b = *now
+		nowValue = *now
 	}
-	return a < b
+	return nextValue < nowValue
 }
 
 // Narrows tells whether a change only takes away from what dispatchers may do. The table, with its reasons:
@@ -320,64 +320,64 @@
 	case KindCordon, KindFreeze, KindWithdraw, KindExpect:
 		return true
 	case KindCeiling:
-		return lower(c.Value, r.Ceiling, 1)
+		return isLower(c.Value, r.Ceiling, 1)
 	default:
 		return false
 	}
 }
 
 // put carries out one change.
-func (r *Rules) put(c Change, n Provenance, forced bool) {
+func (r *Rules) apply(c Change, provenance Provenance, forced bool) {
 	switch c.Kind {
 	case KindCordon:
-		set(&r.Cordons, c.Cordon.ID(), cordon.Cordon{Target: *c.Cordon, Author: n.Author, Reason: n.Reason, Since: n.Since, DurationMs: c.DurationMs,
+		setEntry(&r.Cordons, c.Cordon.ID(), cordon.Cordon{Target: *c.Cordon, Author: provenance.Author, Reason: provenance.Reason, Since: provenance.Since, DurationMs: c.DurationMs,
 			Forced: forced, Automatic: c.Automatic})
 		delete(r.Lifted, c.Cordon.Host)
 	case KindLift:
 		if o, ok := r.Cordons[c.Name]; ok {
-			set(&r.Lifted, o.Host, n.Since)
+			setEntry(&r.Lifted, o.Host, provenance.Since)
 		}
 		delete(r.Cordons, c.Name)
 	case KindCeiling:
 		r.Ceiling = c.Value
 	case KindFreeze:
-		r.Freeze = &n
+		r.Freeze = &provenance
 	case KindThaw:
 		r.Freeze = nil
 	case KindTenant:
-		number(&r.Tenants, c)
+		setNumber(&r.Tenants, c)
 	case KindWorth:
-		number(&r.Worth, c)
+		setNumber(&r.Worth, c)
 	case KindSite:
 		if c.Site == nil {
 			delete(r.Sites, c.Name)
 		} else {
-			set(&r.Sites, c.Name, *c.Site)
+			setEntry(&r.Sites, c.Name, *c.Site)
 		}
 	case KindDispatch:
-		set(&r.Dispatches, c.Name, *c.Dispatch)
+		setEntry(&r.Dispatches, c.Name, *c.Dispatch)
 	case KindWithdraw:
 		delete(r.Dispatches, c.Name)
 	case KindExpect:
-		set(&r.Expected, c.Name, n)
+		setEntry(&r.Expected, c.Name, provenance)
 	case KindDismiss:
 		delete(r.Expected, c.Name)
 	}
 }
 
-func set[V any](m *map[string]V, name string, v V) {
+func setEntry[V any](m *map[string]V, name string, v V) {
 	if *m == nil {
 		*m = map[string]V{}
 	}
 	(*m)[name] = v
 }
 
-func number(m *map[string]float64, c Change) {
+func setNumber(m *map[string]float64, c Change) {
 	if c.Value == nil {
 		delete(*m, c.Name)
 		return
 	}
-	set(m, c.Name, *c.Value)
+	setEntry(m, c.Name, *c.Value)
 }
 
 // clone copies what put may write to.
@@ -389,7 +389,7 @@
 }
 
 // sum tells askings apart; the leader's evidence is no part of what was asked.
-func (a ChangeRequest) sum() string {
+func (a ChangeRequest) digest() string {
 	a.Evidence = nil
 	text, err := json.Marshal(a)
 	if err != nil {
@@ -401,79 +401,79 @@
 
 // Ask judges an asking and makes the next version of it, or refuses it; now is Unix time in milliseconds, by the clock
 // of the leader that took it. Danger: an operator whose answer was lost asks again; the same key gets the same answer.
-func (b *State) Submit(a ChangeRequest, now int64) Answer {
-	if b.byKey == nil {
-		b.byKey = map[string]int{}
+func (b *State) Submit(request ChangeRequest, now int64) Answer {
+	if b.indexByKey == nil {
+		b.indexByKey = map[string]int{}
 		for i, k := range b.Answers {
-			b.byKey[k.Key] = i
+			b.indexByKey[k.Key] = i
 		}
 	}
-	sum := a.sum()
-	if i, ok := b.byKey[a.Key]; ok && a.Key != "" {
-		if b.Answers[i].Sum != sum {
+	digest := request.digest()
+	if i, ok := b.indexByKey[request.Key]; ok && request.Key != "" {
+		if b.Answers[i].Digest != digest {
 			return Answer{Version: b.Document.Head.Version, Refused: RefusedKeyReused, Text: "another asking had this key"}
 		}
 		return b.Answers[i].Answer
 	}
-	answer := b.judge(a, now)
-	if a.Key == "" || len(a.Key) > MaxTextBytes {
+	answer := b.evaluate(request, now)
+	if request.Key == "" || len(request.Key) > MaxTextBytes {
 		return answer
 	}
-	if len(b.Answers) >= keptKeys { // one that is forgotten rests on a version long gone, and is refused for that
+	if len(b.Answers) >= maxStoredAnswers { // one that is forgotten rests on a version long gone, and is refused for that
 		b.Answers = slices.Clone(b.Answers[len(b.Answers)/2:])
-		b.byKey = map[string]int{}
+		b.indexByKey = map[string]int{}
 		for i, k := range b.Answers {
-			b.byKey[k.Key] = i
+			b.indexByKey[k.Key] = i
 		}
 	}
-	b.byKey[a.Key] = len(b.Answers)
-	b.Answers = append(b.Answers, kept{a.Key, sum, answer})
+	b.indexByKey[request.Key] = len(b.Answers)
+	b.Answers = append(b.Answers, storedAnswer{request.Key, digest, answer})
 	return answer
 }
 
-func (b *State) judge(a ChangeRequest, now int64) Answer {
+func (b *State) evaluate(request ChangeRequest, now int64) Answer {
 	head := b.Document.Head
 	refuse := func(code, text string) Answer { return Answer{Version: head.Version, Refused: code, Text: text} }
 	switch {
-	case a.Key == "" || a.Author == "" || a.Reason == "":
+	case request.Key == "" || request.Author == "" || request.Reason == "":
 		return refuse(RefusedInvalid, "expected a key, an author and a reason")
-	case len(a.Key) > MaxTextBytes || len(a.Author) > MaxTextBytes || len(a.Reason) > MaxTextBytes:
+	case len(request.Key) > MaxTextBytes || len(request.Author) > MaxTextBytes || len(request.Reason) > MaxTextBytes:
 		return refuse(RefusedInvalid, "a key, an author or a reason is longer than "+strconv.Itoa(MaxTextBytes)+" bytes")
-	case len(a.Changes) == 0 || len(a.Changes) > MaxChanges:
+	case len(request.Changes) == 0 || len(request.Changes) > MaxChanges:
 		return refuse(RefusedInvalid, "expected 1 to "+strconv.Itoa(MaxChanges)+" changes")
-	case a.BaseVersion != head.Version:
-		return refuse(RefusedStale, fmt.Sprintf("it rests on version %d, the present one is %d", a.BaseVersion, head.Version))
+	case request.BaseVersion != head.Version:
+		return refuse(RefusedStale, fmt.Sprintf("it rests on version %d, the present one is %d", request.BaseVersion, head.Version))
 	}
-	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash, Provenance: Provenance{Author: a.Author, Reason: a.Reason, Since: now}},
-		Changes: a.Changes, Forced: a.Forced}
+	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash, Provenance: Provenance{Author: request.Author, Reason: request.Reason, Since: now}},
+		Changes: request.Changes, Forced: request.Forced}
 	// Each change is judged on the rules as the ones before it in the same asking leave them.
-	next := b.Document.begin(step.Head)
-	for _, c := range a.Changes {
-		if err := c.check(); err != nil {
+	next := b.Document.draftNext(step.Head)
+	for _, c := range request.Changes {
+		if err := c.validate(); err != nil {
 			return refuse(RefusedInvalid, err.Error())
 		}
-		if c.Kind == KindCordon && !a.Forced {
-			if _, there := next.Rules.Cordons[c.Cordon.ID()]; !there {
-				if err := b.Budget.Check(*c.Cordon, next.Rules.Cordons, a.Evidence); err != nil {
+		if c.Kind == KindCordon && !request.Forced {
+			if _, exists := next.Rules.Cordons[c.Cordon.ID()]; !exists {
+				if err := b.Budget.Check(*c.Cordon, next.Rules.Cordons, request.Evidence); err != nil {
 					return refuse(RefusedBudget, err.Error())
 				}
 			}
 		}
-		if err := next.fits(c); err != nil {
+		if err := next.checkApplicable(c); err != nil {
 			return refuse(RefusedInvalid, err.Error())
 		}
-		next.add(c, a.Forced)
+		next.applyOrDefer(c, request.Forced)
 	}
-	if !b.seal(&next, step) {
+	if !b.commit(&next, step) {
 		return refuse(RefusedTooLarge, "the document would be larger than "+strconv.Itoa(MaxRulesBytes)+" bytes")
 	}
-	waits := 0
+	pendingCount := 0
 	for _, w := range next.Pending {
 		if w.Version == next.Head.Version {
-			waits++
+			pendingCount++
 		}
 	}
-	return Answer{Version: next.Head.Version, PendingCount: waits}
+	return Answer{Version: next.Head.Version, PendingCount: pendingCount}
 }
 
 // Step is what makes a version out of the one before.
@@ -484,59 +484,59 @@
 }
 
 // begin is the next version before its changes.
-func (d Document) begin(h Head) Document {
+func (d Document) draftNext(h Head) Document {
 	return Document{Head: h, Rules: d.Rules.clone(), Pending: slices.Clone(d.Pending)}
 }
 
 // fits tells what keeps a change, right by itself, from these rules.
-func (d *Document) fits(c Change) error {
-	there := false
+func (d *Document) checkApplicable(c Change) error {
+	exists := false
 	switch c.Kind {
 	case KindLift:
-		if _, there = d.Rules.Cordons[c.Name]; !there {
-			return errWrong("lift: no such cordon stands")
+		if _, exists = d.Rules.Cordons[c.Name]; !exists {
+			return errInvalid("lift: no such cordon stands")
 		}
 	case KindWithdraw:
-		_, there = d.Rules.Dispatches[c.Name]
-		if !there && !slices.ContainsFunc(d.Pending, func(w PendingChange) bool { return w.Change.about() == c.about() }) {
-			return errWrong("withdraw: no such dispatch")
+		_, exists = d.Rules.Dispatches[c.Name]
+		if !exists && !slices.ContainsFunc(d.Pending, func(w PendingChange) bool { return w.Change.subject() == c.subject() }) {
+			return errInvalid("withdraw: no such dispatch")
 		}
 	case KindDispatch:
-		if _, there = d.Rules.Dispatches[c.Name]; there {
-			return errWrong("dispatch: there is one of this name; withdraw it first")
+		if _, exists = d.Rules.Dispatches[c.Name]; exists {
+			return errInvalid("dispatch: there is one of this name; withdraw it first")
 		}
 	}
 	return nil
 }
 
 // add carries out a change that narrows, and lets any other wait.
-func (d *Document) add(c Change, forced bool) {
-	d.Pending = slices.DeleteFunc(d.Pending, func(w PendingChange) bool { return w.Change.about() == c.about() })
+func (d *Document) applyOrDefer(c Change, forced bool) {
+	d.Pending = slices.DeleteFunc(d.Pending, func(w PendingChange) bool { return w.Change.subject() == c.subject() })
 	if d.Rules.Narrows(c) {
-		d.Rules.put(c, d.Head.Provenance, forced)
+		d.Rules.apply(c, d.Head.Provenance, forced)
 		return
 	}
 	d.Pending = append(d.Pending, PendingChange{Version: d.Head.Version, Change: c, Provenance: d.Head.Provenance})
 }
 
 // open puts in force what waits up to a version, and tells how much that was.
-func (d *Document) open(upTo uint64) int {
-	opened := 0
+func (d *Document) activate(upTo uint64) int {
+	activated := 0
 	d.Pending = slices.DeleteFunc(d.Pending, func(w PendingChange) bool {
 		if w.Version > upTo {
 			return false
 		}
-		n := w.Provenance
-		n.Since = d.Head.Since
-		d.Rules.put(w.Change, n, false)
-		opened++
+		provenance := w.Provenance
+		provenance.Since = d.Head.Since
+		d.Rules.apply(w.Change, provenance, false)
+		activated++
 		return true
 	})
-	return opened
+	return activated
 }
 
 // forget drops liftings that are so long ago that their servers are not cold any more.
-func (d *Document) forget(coldMs int64) {
+func (d *Document) dropExpiredLifts(coldMs int64) {
 	maps.DeleteFunc(d.Rules.Lifted, func(_ string, at int64) bool { return d.Head.Since-at > coldMs })
 	if len(d.Rules.Lifted) == 0 {
 		d.Rules.Lifted = nil
@@ -549,14 +549,14 @@
 	if step.Head.Version != d.Head.Version+1 || step.Head.PreviousHash != d.Head.Hash {
 		return d, fmt.Errorf("version %d does not follow version %d", step.Head.Version, d.Head.Version)
 	}
-	next := d.begin(step.Head)
+	next := d.draftNext(step.Head)
 	for _, c := range step.Changes {
-		next.add(c, step.Forced)
+		next.applyOrDefer(c, step.Forced)
 	}
 	if step.Head.ActivatesUpTo > 0 {
-		next.open(step.Head.ActivatesUpTo)
+		next.activate(step.Head.ActivatesUpTo)
 	}
-	next.forget(coldMs)
+	next.dropExpiredLifts(coldMs)
 	if !next.HasValidHash() {
 		return d, fmt.Errorf("version %d is not what its hash says", step.Head.Version)
 	}
@@ -564,8 +564,8 @@
 }
 
 // seal makes a document the present version, unless it is too large.
-func (b *State) seal(next *Document, step Step) bool {
-	next.forget(b.ColdMs)
+func (b *State) commit(next *Document, step Step) bool {
+	next.dropExpiredLifts(b.ColdMs)
 	text, err := json.Marshal(struct {
 		Rules   Rules
 		Waiting []PendingChange
@@ -575,12 +575,12 @@
 	}
 	next.Head.Hash = next.ComputeHash()
 	step.Head = next.Head
-	b.Document, b.last = *next, step
+	b.Document, b.lastStep = *next, step
 	return true
 }
 
 // Last is the step that made the present version; its Version is 0 where it was made before this process.
-func (b *State) LastStep() Step { return b.last }
+func (b *State) LastStep() Step { return b.lastStep }
 
 // Ready is the newest version that announced something which waits; 0: nothing does.
 func (b *State) NewestPending() uint64 {
@@ -600,12 +600,12 @@
 	head := b.Document.Head
 	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash, ActivatesUpTo: upTo,
 		Provenance: Provenance{Author: "registrar", Reason: "all dispatchers know of it", Since: now}}}
-	next := b.Document.begin(step.Head)
-	if next.open(upTo) == 0 {
+	next := b.Document.draftNext(step.Head)
+	if next.activate(upTo) == 0 {
 		return ErrNothingPending
 	}
-	if !b.seal(&next, step) {
-		return errWrong("the document would be too large")
+	if !b.commit(&next, step) {
+		return errInvalid("the document would be too large")
 	}
 	return nil
 }
@@ -613,6 +613,6 @@
 // Clone is a copy that goes its own way.
 func (b *State) Clone() *State {
 	c := *b
-	c.Answers, c.byKey = slices.Clone(b.Answers), nil
+	c.Answers, c.indexByKey = slices.Clone(b.Answers), nil
 	return &c
 }
--- a/internal/decide/ruleset/view.go
+++ b/internal/decide/ruleset/view.go
@@ -10,22 +10,22 @@
 
 // View is a document as a dispatcher acts on it. It is never changed once made.
 type View struct {
-	Document Document
-	cordons  map[string][]cordon.Cordon // by host
+	Document      Document
+	cordonsByHost map[string][]cordon.Cordon // by host
 }
 
 // NewView reads a document.
 func NewView(d Document) *View {
-	v := &View{Document: d, cordons: map[string][]cordon.Cordon{}}
+	v := &View{Document: d, cordonsByHost: map[string][]cordon.Cordon{}}
 	for _, o := range d.Rules.Cordons {
-		v.cordons[o.Host] = append(v.cordons[o.Host], o)
+		v.cordonsByHost[o.Host] = append(v.cordonsByHost[o.Host], o)
 	}
 	return v
 }
 
 // Unknown lists the kinds of rules in a document that a program which knows some does not understand.
-func UnsupportedKinds(d Document, knows []string) []string {
-	return slices.DeleteFunc(d.RuleKinds(), func(k string) bool { return slices.Contains(knows, k) })
+func UnsupportedKinds(d Document, supported []string) []string {
+	return slices.DeleteFunc(d.RuleKinds(), func(k string) bool { return slices.Contains(supported, k) })
 }
 
 // Version is the document's.
@@ -33,7 +33,7 @@
 
 // Open tells whether a life of a server may be sent new work.
 func (v *View) AllowsNewWork(host string, born int64) bool {
-	for _, o := range v.cordons[host] {
+	for _, o := range v.cordonsByHost[host] {
 		if o.Covers(host, born) {
 			return false
 		}
@@ -60,23 +60,23 @@
 
 // Release narrows the platform's news: the exposure of a build on trial keeps under the ceiling, and without a lease
 // nothing goes to it.
-func (v *View) RestrictRelease(s logic.ReleaseStatus, c lease.Conduct) logic.ReleaseStatus {
-	if s.Phase != logic.OnTrial {
-		return s
+func (v *View) RestrictRelease(status logic.ReleaseStatus, conduct lease.Conduct) logic.ReleaseStatus {
+	if status.Phase != logic.OnTrial {
+		return status
 	}
-	if t := v.Document.Rules.Ceiling; t != nil {
-		s.Cap = min(s.Cap, *t)
+	if ceiling := v.Document.Rules.Ceiling; ceiling != nil {
+		status.Cap = min(status.Cap, *ceiling)
 	}
-	if c != lease.Full {
-		s.Cap = 0
+	if conduct != lease.Full {
+		status.Cap = 0
 	}
-	return s
+	return status
 }
 
 // Vote narrows a vote: during a freeze, and without a lease, none takes a build further.
-func (v *View) RestrictVote(x logic.Vote, c lease.Conduct) logic.Vote {
-	if x.Verdict == logic.VoteOn && (v.Document.Rules.Freeze != nil || c != lease.Full) {
-		x.Verdict = logic.VoteHold
+func (v *View) RestrictVote(vote logic.Vote, conduct lease.Conduct) logic.Vote {
+	if vote.Verdict == logic.VoteOn && (v.Document.Rules.Freeze != nil || conduct != lease.Full) {
+		vote.Verdict = logic.VoteHold
 	}
-	return x
+	return vote
 }
--- a/internal/decide/schedule/schedule.go
+++ b/internal/decide/schedule/schedule.go
@@ -72,20 +72,20 @@
 
 // room is how many tries may be out at a site at its age since its return. Danger: all that has waited would come at
 // once to servers that have just started.
-func (s Settings) room(site Site, now int64) int {
+func (s Settings) tryLimit(site Site, now int64) int {
 	up, since, _ := site.LastObservation()
 	if !up {
 		return 1 // a try that finds out
 	}
-	warm := 1.0
+	allowed := 1.0
 	if age := time.Duration(now-since) * time.Millisecond; age < s.ColdPeriod {
-		warm = s.ColdShare + (1-s.ColdShare)*float64(age)/float64(s.ColdPeriod)
+		allowed = s.ColdShare + (1-s.ColdShare)*float64(age)/float64(s.ColdPeriod)
 	}
-	return max(1, int(float64(s.MaxInFlight)*warm))
+	return max(1, int(float64(s.MaxInFlight)*allowed))
 }
 
 // gain is what a try at a time is expected to bring: the worth if it comes to its end, less the price if it does not.
-func (s Settings) gain(j Job, site Site, at int64) (gain, chance float64) {
+func (s Settings) expectedGain(j Job, site Site, at int64) (gain, chance float64) {
 	p, _ := site.UpProbability(at)
 	p *= site.StayUpProbability(at, j.ExpectedDuration)
 	return p*j.Worth - (1-p)*s.FailedTryCost*math.Max(j.Worth, 1e-9), p
@@ -93,97 +93,97 @@
 
 // Plan tells what to do with each job now. Jobs that are out count towards the room of their sites.
 func (s Settings) Plan(now int64, jobs []Job, site func(name string) Site) []Decision {
-	var out []Decision
-	taken := map[string]int{}
-	var open []Job
+	var decisions []Decision
+	inFlight := map[string]int{}
+	var ready []Job
 	for _, j := range jobs {
 		switch {
 		case j.InFlight:
-			taken[j.Site]++
+			inFlight[j.Site]++
 		case now+j.ExpectedDuration.Milliseconds() > j.Latest:
-			out = append(out, Decision{Job: j.ID, Verdict: GiveUp, Reason: "it can't be done in time any more"})
+			decisions = append(decisions, Decision{Job: j.ID, Verdict: GiveUp, Reason: "it can't be done in time any more"})
 		case now < j.Earliest:
-			out = append(out, Decision{Job: j.ID, Verdict: Wait, RetryAtMs: j.Earliest})
+			decisions = append(decisions, Decision{Job: j.ID, Verdict: Wait, RetryAtMs: j.Earliest})
 		default:
-			open = append(open, j)
+			ready = append(ready, j)
 		}
 	}
 	// What would be lost first goes first; of two with the same time, the one that is worth more.
-	slices.SortFunc(open, func(a, b Job) int {
+	slices.SortFunc(ready, func(a, b Job) int {
 		return cmp.Or(cmp.Compare(a.Latest-a.ExpectedDuration.Milliseconds(), b.Latest-b.ExpectedDuration.Milliseconds()), cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.ID, b.ID))
 	})
-	for _, j := range open {
+	for _, j := range ready {
 		x := site(j.Site)
-		step := s.judge(now, j, x)
-		if step.Verdict == Try {
-			if taken[j.Site] >= s.room(x, now) {
-				step = Decision{Job: j.ID, Verdict: Wait, RetryAtMs: now + s.PlanInterval.Milliseconds()}
+		decision := s.decide(now, j, x)
+		if decision.Verdict == Try {
+			if inFlight[j.Site] >= s.tryLimit(x, now) {
+				decision = Decision{Job: j.ID, Verdict: Wait, RetryAtMs: now + s.PlanInterval.Milliseconds()}
 			} else {
-				taken[j.Site]++
+				inFlight[j.Site]++
 			}
 		}
-		out = append(out, step)
+		decisions = append(decisions, decision)
 	}
-	return out
+	return decisions
 }
 
 // judge weighs a try now against the best time that is left.
-func (s Settings) judge(now int64, j Job, site Site) Decision {
-	last := j.Latest - j.ExpectedDuration.Milliseconds()
+func (s Settings) decide(now int64, j Job, site Site) Decision {
+	latestStart := j.Latest - j.ExpectedDuration.Milliseconds()
 	up, _, seen := site.LastObservation()
 	if j.LastTriedMs >= seen { // nothing has been seen of the site since that try; a failed one says that it is down
 		up = false
 	}
-	mine, chance := s.gain(j, site, now)
+	gainNow, chance := s.expectedGain(j, site, now)
 	_, known := site.UpProbability(now)
 	if !known {
 		// Nothing is known: as it was seen last, and otherwise again and again with growing pauses.
-		if up || j.FailedTries == 0 || now >= j.LastTriedMs+s.pause(j) {
+		if up || j.FailedTries == 0 || now >= j.LastTriedMs+s.retryDelayMs(j) {
 			return Decision{Job: j.ID, Verdict: Try}
 		}
-		return Decision{Job: j.ID, Verdict: Wait, RetryAtMs: min(last, j.LastTriedMs+s.pause(j))}
+		return Decision{Job: j.ID, Verdict: Wait, RetryAtMs: min(latestStart, j.LastTriedMs+s.retryDelayMs(j))}
 	}
-	best, at := math.Inf(-1), now
+	bestGain, bestAt := math.Inf(-1), now
 	for i := 1; i <= s.LookAheadSteps; i++ {
-		t := now + (last-now)*int64(i)/int64(s.LookAheadSteps)
-		if t <= now {
+		at := now + (latestStart-now)*int64(i)/int64(s.LookAheadSteps)
+		if at <= now {
 			continue
 		}
-		if g, _ := s.gain(j, site, t); g > best {
-			best, at = g, t
+		if gain, _ := s.expectedGain(j, site, at); gain > bestGain {
+			bestGain, bestAt = gain, at
 		}
 	}
 	// A try that fails is not the end: the later times are still there. So it costs its price, no more, and is worth it
 	// where its chance makes up for that; a little is added for what may come between.
-	later := math.Max(0, best)
+	later := math.Max(0, bestGain)
 	tryNow := chance*j.Worth + (1-chance)*(later-s.FailedTryCost*j.Worth)
 	switch {
 	case up && tryNow >= later:
 		return Decision{Job: j.ID, Verdict: Try}
-	case up && chance >= surely:
+	case up && chance >= confidentProbability:
 		return Decision{Job: j.ID, Verdict: Try}
-	case !up && mine > 0 && tryNow > later*(1+margin) && now >= j.LastTriedMs+s.pause(j):
+	case !up && gainNow > 0 && tryNow > later*(1+guessMargin) && now >= j.LastTriedMs+s.retryDelayMs(j):
 		return Decision{Job: j.ID, Verdict: Try}
-	case !up && last-now <= s.PlanInterval.Milliseconds() && chance > s.FailedTryCost:
+	case !up && latestStart-now <= s.PlanInterval.Milliseconds() && chance > s.FailedTryCost:
 		return Decision{Job: j.ID, Verdict: Try} // the last chance there is
 	}
-	if at <= now {
-		at = now + s.PlanInterval.Milliseconds()
+	if bestAt <= now {
+		bestAt = now + s.PlanInterval.Milliseconds()
 	}
-	return Decision{Job: j.ID, Verdict: Wait, RetryAtMs: at}
+	return Decision{Job: j.ID, Verdict: Wait, RetryAtMs: bestAt}
 }
 
 const (
-	surely = 0.9  // a site that is up, and likely to stay so for the work, is not waited for
-	margin = 0.02 // by which a try has to be better than to wait, where it would be a guess
+	confidentProbability = 0.9  // a site that is up, and likely to stay so for the work, is not waited for
+	guessMargin          = 0.02 // by which a try has to be better than to wait, where it would be a guess
 )
 
 // pause is what is waited after a try that failed, where nothing else tells: doubled each time, up to a quarter of what
 // the job has.
-func (s Settings) pause(j Job) int64 {
+func (s Settings) retryDelayMs(j Job) int64 {
 	if j.FailedTries == 0 {
 		return 0
 	}
-	most := max(s.PlanInterval.Milliseconds(), (j.Latest-j.Earliest)/4)
-	return min(most, s.PlanInterval.Milliseconds()<<min(j.FailedTries, 20))
+	longest := max(s.PlanInterval.Milliseconds(), (j.Latest-j.Earliest)/4)
+	return min(longest, s.PlanInterval.Milliseconds()<<min(j.FailedTries, 20))
 }
