--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -108,8 +108,8 @@
 	if m.DedupKey, wrong = p.repeatable(r, class); wrong != nil {
 		return m, f, 0, wrong
 	}
-	f = exchange.Fields{Class: class.Name, Retry: optional(r.Header, headerRetry) == "1",
-		Hint: p.hint(optional(r.Header, headerHint))}
+	f = exchange.Fields{Class: class.Name, IsRetry: optional(r.Header, headerRetry) == "1",
+		ExpectedWork: p.hint(optional(r.Header, headerHint))}
 	if len(p.tenants) > 0 {
 		if f.Tenant, wrong = once(r.Header, headerTenant, p.limits.MaxIDLength); wrong != nil {
 			return m, f, 0, wrong
@@ -136,7 +136,7 @@
 // repeatable checks that the method fits the class, and gives the key of a keyed request.
 func (p *reader) repeatable(r *http.Request, class logic.Class) (string, *problem) {
 	want := http.MethodPost
-	if class.Repeat == logic.Safe {
+	if class.Repeatability == logic.Safe {
 		want = http.MethodGet
 	}
 	if r.Method != want {
@@ -149,7 +149,7 @@
 		return "", &problem{http.StatusLengthRequired, "no body where one is due"}
 	case r.ContentLength > int64(p.limits.MaxBody):
 		return "", &problem{http.StatusRequestEntityTooLarge, "body too large"}
-	case class.Repeat != logic.Keyed:
+	case class.Repeatability != logic.Keyed:
 		return "", nil
 	}
 	return once(r.Header, headerDedup, p.limits.MaxIDLength)
--- a/internal/decide/ruleset/view.go
+++ b/internal/decide/ruleset/view.go
@@ -60,22 +60,22 @@
 
 // Release narrows the platform's news: the exposure of a build on trial keeps under the ceiling, and without a lease
 // nothing goes to it.
-func (v *View) RestrictRelease(status logic.ReleaseStatus, conduct lease.Conduct) logic.ReleaseStatus {
+func (v *View) RestrictRelease(status logic.ReleaseStatus, permission lease.Permission) logic.ReleaseStatus {
 	if status.Phase != logic.OnTrial {
 		return status
 	}
 	if ceiling := v.Document.Rules.Ceiling; ceiling != nil {
 		status.Cap = min(status.Cap, *ceiling)
 	}
-	if conduct != lease.Full {
+	if permission != lease.Full {
 		status.Cap = 0
 	}
 	return status
 }
 
 // Vote narrows a vote: during a freeze, and without a lease, none takes a build further.
-func (v *View) RestrictVote(vote logic.Vote, conduct lease.Conduct) logic.Vote {
-	if vote.Verdict == logic.VoteOn && (v.Document.Rules.Freeze != nil || conduct != lease.Full) {
+func (v *View) RestrictVote(vote logic.Vote, permission lease.Permission) logic.Vote {
+	if vote.Verdict == logic.VoteAdvance && (v.Document.Rules.Freeze != nil || permission != lease.Full) {
 		vote.Verdict = logic.VoteHold
 	}
 	return vote
