--- a/internal/decide/contact/contact.go
+++ b/internal/decide/contact/contact.go
@@ -1,13 +1,14 @@
-// Package contact decides how likely a site is to be reached at a time to come, from what dispatchers met there.
+// Package contact decides how likely a site with an intermittent link is to be reachable at a future time, from what
+// dispatchers (the gateways) observed of it.
 //
-// A site is up or down for stretches of time. How long a stretch lasts is estimated by occurrence and exposure in bins of
-// its age (the piecewise exponential model of survival analysis): a stretch still running, or one that was lost from
-// sight, adds exposure and no end, so it is censored and not taken for finished. From there the chance to be up later
-// follows by an alternating renewal process. Beside it stand other forecasts: the part of time that the site is up at
-// that hour of the day, its part of all time, and that all stays as it is now. Which to trust is learnt from how each
-// did, by exponential weights with a fixed share (Herbster and Warmuth, 1998), for each length of look-ahead by itself,
-// so that a pattern that changes is followed. An operator's calendar of planned outages comes on top as a strong prior,
-// which what was seen of earlier ones overrules.
+// A site alternates between intervals of being up and down. The model of their lengths is the piecewise exponential model of
+// survival analysis: interval ends and exposure are counted in bins of the interval's age. An interval that still runs, or
+// whose end was not observed, adds exposure and no end; it is censored, and not counted as finished. An alternating renewal
+// process turns these lengths into the probability of being up later. Three other forecasts compete with it: the share of
+// time that the site is up at that time of the day, its share of all time, and that its state does not change. The forecasts
+// are mixed by exponential weights with a fixed share (Herbster and Warmuth, 1998), by how well each did before. Each length
+// of look-ahead has its own weights, and the mix follows a pattern that changes. An operator's calendar of planned outages is
+// applied on top as a strong prior, which observations of earlier planned outages override.
 package contact
 
 import (
@@ -16,7 +17,7 @@
 	"time"
 )
 
-// State is whether a site can be reached.
+// State says whether a site can be reached.
 type State int
 
 // States of a site.
@@ -27,31 +28,31 @@
 )
 
 const (
-	ageBins          = 44             // of stretches' ages, two for each doubling, from a second to about three weeks
-	dayBins          = 48             // half hours
-	dayLength        = 24 * time.Hour // of UTC: the hours shift with summer time, and are learnt anew
-	horizonCount     = 6              // lengths of look-ahead that experts are weighed for
-	maxPending       = 8              // forecasts of one look that wait to be judged
-	minSteps         = 24             // of a look-ahead, in the renewal process
+	ageBins          = 44             // bins of an interval's age, two per doubling, from a second to about three weeks
+	dayBins          = 48             // bins of half an hour
+	dayLength        = 24 * time.Hour // in UTC, so a switch to or from summer time shifts the pattern, which is then relearned
+	horizonCount     = 6              // lengths of look-ahead, each with its own weights of the experts
+	maxPending       = 8              // forecasts per horizon that wait for their outcome
+	minSteps         = 24             // steps of a look-ahead in the renewal process
 	maxSteps         = 160
-	stepsPerInterval = 8 // steps that a stretch of the shorter kind is cut into, on the mean: fewer lose count of where it is
-	expertCount      = 4
-
-	intervalDecay         = 0.97  // of what is known of stretches, at the end of each: about the last 30 count
-	dayDecay              = 0.85  // of what is known of an hour, a day later: about the last week counts
-	sharedWeight          = 0.005 // of the weights that is spread anew each time: forgetting
-	priorEndCount         = 0.7   // how many stretches' worth the mean of all ages counts in each bin
-	calendarPriorOccurred = 4.0   // what a calendar is trusted at first: as if four outages of five had come
+	stepsPerInterval = 8 // steps per mean interval of the shorter kind; with fewer, the process loses track of the phase
+	expertCount      = 4 // the forecasts that are mixed: renewal, time of day, mean, no change
+
+	intervalDecay         = 0.97  // decay of the counts at the end of each interval: about the last 30 count
+	dayDecay              = 0.85  // decay per day of what is known of a time of day: about the last week counts
+	sharedWeight          = 0.005 // part of the weights that is redistributed evenly at each update, so that old results are forgotten
+	priorEndCount         = 0.7   // weight of the mean over all ages in each bin, in interval ends
+	calendarPriorOccurred = 4.0   // initial trust in a calendar: as if four of five planned outages had occurred
 	calendarPriorPlanned  = 5.0
-	minEndedIntervals     = 3        // stretches of each kind that ended, before a forecast is told as known
-	MaxSites              = 1024     // that are kept; beyond, further ones stay unknown
-	maxProbability        = 1 - 1e-3 // no forecast is surer than that
+	minEndedIntervals     = 3        // ended intervals of each kind that a forecast needs to count as based on evidence
+	MaxSites              = 1024     // sites that are tracked; further ones stay unknown
+	maxProbability        = 1 - 1e-3 // bound of every forecast; the lower one is 1 - maxProbability
 )
 
-// probe is the distance that forecasts of each look are judged at: its far end, since what errs adds up on the way.
+// horizonLengths holds the length of each horizon. Forecasts are evaluated at that far end, since errors add up on the way.
 var horizonLengths = [horizonCount]time.Duration{time.Minute, 5 * time.Minute, 20 * time.Minute, time.Hour, 4 * time.Hour, 12 * time.Hour}
 
-// look gives the look-ahead that a distance in time falls in.
+// horizonOf returns the index of the horizon for a look-ahead of d.
 func horizonOf(d time.Duration) int {
 	for i, longest := range horizonLengths[:horizonCount-1] {
 		if d <= longest {
@@ -61,12 +62,13 @@
 	return horizonCount - 1
 }
 
-// Ages is what is known of how long stretches of one kind last, by bins of age.
+// DurationModel estimates how long intervals of one kind (up or down) last, by bins of age.
 type DurationModel struct {
-	Exposure [ageBins]float64 `json:"exposure"` // seconds spent at an age
-	Ends     [ageBins]float64 `json:"ends"`
+	Exposure [ageBins]float64 `json:"exposure"` // seconds observed at an age
+	Ends     [ageBins]float64 `json:"ends"`     // intervals that ended at an age
 }
 
+// ageBin returns the bin of an age.
 func ageBin(age time.Duration) int {
 	if age < time.Second {
 		return 0
@@ -74,7 +76,7 @@
 	return min(ageBins-1, int(2*math.Log2(age.Seconds())))
 }
 
-// begin is the age at which a bin begins.
+// binStart returns the age at which a bin begins.
 func binStart(bin int) time.Duration {
 	if bin == 0 {
 		return 0
@@ -82,7 +84,7 @@
 	return time.Duration(math.Exp2(float64(bin)/2) * float64(time.Second))
 }
 
-// spend adds the time from one age to another, without an end.
+// addExposure adds the time between two ages, without an end.
 func (a *DurationModel) addExposure(from, to time.Duration) {
 	for b := ageBin(from); from < to && b < ageBins; b++ {
 		until := to
@@ -94,6 +96,7 @@
 	}
 }
 
+// addEnd counts the end of an interval at an age, and decays the earlier counts.
 func (a *DurationModel) addEnd(age time.Duration) {
 	for i := range a.Ends {
 		a.Ends[i] *= intervalDecay
@@ -102,6 +105,7 @@
 	a.Ends[ageBin(age)]++
 }
 
+// endCount returns the decayed number of intervals that ended.
 func (a *DurationModel) endCount() (n float64) {
 	for _, e := range a.Ends {
 		n += e
@@ -109,12 +113,12 @@
 	return n
 }
 
-// hazard is the rate at which stretches of an age end, a second. Bins that have seen little lean on the mean of all.
+// hazard returns the rate per second at which intervals in an age bin end. Bins with little data are drawn to the mean.
 func (a *DurationModel) hazard(b int, mean float64) float64 {
 	return (a.Ends[b] + priorEndCount) / (a.Exposure[b] + priorEndCount/mean)
 }
 
-// mean is the rate of ends over all ages, a second; an hour's stretch is assumed before any was seen.
+// meanHazard returns the rate of ends per second over all ages. Without data it assumes intervals of an hour.
 func (a *DurationModel) meanHazard() float64 {
 	exposure, ends := 0.0, 0.0
 	for b := range a.Ends {
@@ -124,7 +128,7 @@
 	return (ends + 1) / (exposure + 3600)
 }
 
-// rates are the hazards of all bins.
+// hazards returns the hazards of all bins.
 func (a *DurationModel) hazards() (out [ageBins]float64) {
 	mean := a.meanHazard()
 	for b := range out {
@@ -133,7 +137,7 @@
 	return out
 }
 
-// survive is the chance that a stretch of an age lasts for d more.
+// survivalProbability returns the probability that an interval of the given age lasts for another d.
 func survivalProbability(hazards *[ageBins]float64, age, d time.Duration) float64 {
 	sum, to := 0.0, age+d
 	for b := ageBin(age); age < to && b < ageBins; b++ {
@@ -149,37 +153,38 @@
 	return math.Exp(-sum)
 }
 
-// pending is a forecast that waits to be judged.
+// pendingForecast is a forecast that waits for its outcome. Probabilities holds each expert's probability of being up.
 type pendingForecast struct {
-	DueMs         int64                `json:"at"` // ms
+	DueMs         int64                `json:"at"`
 	Probabilities [expertCount]float64 `json:"p"`
 }
 
-// Site is what is known of one. Its size is fixed.
+// Site holds what is known of one site. Its size is bounded.
 type Site struct {
 	State             State                              `json:"state"`
-	Since             int64                              `json:"since"` // ms: this stretch began, as far as was seen
-	Seen              int64                              `json:"seen"`  // ms: last seen in this state
+	Since             int64                              `json:"since"` // Unix ms: begin of the current interval, as far as observed
+	Seen              int64                              `json:"seen"`  // Unix ms: last observed in this state
 	Durations         [2]DurationModel                   `json:"ages"`  // up; down
 	UpSecondsByBin    [dayBins]float64                   `json:"day_up"`
 	SeenSecondsByBin  [dayBins]float64                   `json:"day_all"`
-	LastDayByBin      [dayBins]int64                     `json:"day_at"` // the day that was counted last
+	LastDayByBin      [dayBins]int64                     `json:"day_at"` // the last day that was counted
 	Weights           [horizonCount][expertCount]float64 `json:"weights"`
 	Pending           [horizonCount][]pendingForecast    `json:"pending,omitempty"`
-	OutagesOccurred   float64                            `json:"plan_yes"` // planned outages that came, and all, as they were seen
-	OutagesPlanned    float64                            `json:"plan_all"`
-	LastCountedOutage int64                              `json:"plan_seen"` // the latest outage that was counted, by its begin
+	OutagesOccurred   float64                            `json:"plan_yes"`  // decayed number of planned outages that occurred
+	OutagesPlanned    float64                            `json:"plan_all"`  // decayed number of planned outages during which the site was observed
+	LastCountedOutage int64                              `json:"plan_seen"` // Unix ms: begin of the latest planned outage that was counted
 }
 
-// Sites is what is known of all.
+// Forecaster tracks all sites and forecasts when they can be reached.
 type Forecaster struct {
 	Sites map[string]*Site `json:"sites"`
 }
 
-// New knows nothing.
+// New returns a forecaster that knows no sites.
 func New() *Forecaster { return &Forecaster{Sites: map[string]*Site{}} }
 
-// UnmarshalJSON reads what was kept as part of something larger: what is spoilt is left out, and what it is part of goes on.
+// UnmarshalJSON reads a stored forecaster. It leaves out corrupt sites and returns no error, so that whatever contains the
+// forecaster can still be read.
 func (s *Forecaster) UnmarshalJSON(text []byte) error {
 	type plain Forecaster
 	var p plain
@@ -195,7 +200,7 @@
 	return nil
 }
 
-// sound tells that all numbers can be.
+// isValid reports whether all numbers are within their possible ranges.
 func (s *Site) isValid() bool {
 	isValidNumber := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	valid := s.State >= Unknown && s.State <= Down && s.Seen >= s.Since && isValidNumber(s.OutagesOccurred) && isValidNumber(s.OutagesPlanned) && s.OutagesOccurred <= s.OutagesPlanned
@@ -216,11 +221,12 @@
 	return valid
 }
 
-// Span is a planned outage, in Unix ms.
+// Span is a planned outage, in Unix milliseconds. Until is excluded.
 type Span struct{ From, Until int64 }
 
 func (s Span) covers(at int64) bool { return s.From <= at && at < s.Until }
 
+// outageAt returns the first planned outage that covers a time, or nil.
 func outageAt(calendar []Span, at int64) *Span {
 	for i := range calendar {
 		if calendar[i].covers(at) {
@@ -230,7 +236,7 @@
 	return nil
 }
 
-// index of Ages.
+// stateIndex returns the index of a state in Site.Durations.
 func stateIndex(s State) int {
 	if s == Up {
 		return 0
@@ -238,8 +244,8 @@
 	return 1
 }
 
-// Observe takes what was found of a site at a time, in ms. Unknown leaves the stretch as it was seen last: the time
-// until it is seen again counts only if it is found in the same state.
+// Observe records the state in which a site was found at a time, in Unix milliseconds. Unknown leaves the current interval as
+// it was: the time until the next observation counts in full only if that finds the same state.
 func (s *Forecaster) Observe(now int64, name string, state State, calendar []Span) {
 	x := s.Sites[name]
 	if x == nil {
@@ -263,7 +269,7 @@
 	since, seen := millis(x.Since), millis(x.Seen)
 	if state == x.State {
 		x.Durations[stateIndex(state)].addExposure(seen-since, millis(now)-since)
-	} else { // it changed somewhere between: in the middle, as far as is known
+	} else { // the state changed in between, at an unknown time; assume the middle
 		change := (x.Seen + now) / 2
 		a := &x.Durations[stateIndex(x.State)]
 		a.addExposure(seen-since, millis(change)-since)
@@ -275,15 +281,17 @@
 	x.queueForecasts(now)
 }
 
+// millis converts milliseconds to a duration.
 func millis(t int64) time.Duration { return time.Duration(t) * time.Millisecond }
 
-// hour is the bin of a time of day, and the day.
+// timeOfDayBin returns the bin of a time's time of day, and its day.
 func timeOfDayBin(at int64) (bin int, day int64) {
 	day = at / dayLength.Milliseconds()
 	return int((at % dayLength.Milliseconds()) * dayBins / dayLength.Milliseconds()), day
 }
 
-// count adds to the hours of the day. Each look adds the time since the one before, at most a bin's.
+// countTimeOfDay adds an observation to its time of day. It counts the time since the previous observation, at most the
+// length of a bin.
 func (x *Site) countTimeOfDay(now int64, state State) {
 	b, day := timeOfDayBin(now)
 	if daysSince := day - x.LastDayByBin[b]; daysSince > 0 {
@@ -299,7 +307,7 @@
 	}
 }
 
-// plan counts whether planned outages come, once each.
+// countPlannedOutage counts whether a planned outage occurs, once for each outage, after its first quarter.
 func (x *Site) countPlannedOutage(now int64, state State, calendar []Span) {
 	c := outageAt(calendar, now)
 	if c == nil || c.From <= x.LastCountedOutage || now < c.From+(c.Until-c.From)/4 {
@@ -312,7 +320,8 @@
 	}
 }
 
-// forecasts are what each expert says of being up at a time.
+// expertForecasts returns each expert's probability that the site is up at a time: by the renewal process, by the time of day,
+// by the mean over all time, and if the state does not change.
 func (x *Site) expertForecasts(now, at int64) (p [expertCount]float64) {
 	up, down := x.Durations[0].hazards(), x.Durations[1].hazards()
 	total, upTotal := 0.0, 0.0
@@ -322,7 +331,7 @@
 	}
 	meanUp := (upTotal + 60) / (total + 120)
 	b, _ := timeOfDayBin(at)
-	const shrinkage = 120 // seconds of the mean that an hour's own count leans on
+	const shrinkage = 120 // weight of the mean in a bin's estimate, in seconds of observation
 	p[0] = x.renewalUpProbability(&up, &down, millis(now-x.Since), millis(at-now))
 	p[1] = (x.UpSecondsByBin[b] + shrinkage*meanUp) / (x.SeenSecondsByBin[b] + shrinkage)
 	p[2] = meanUp
@@ -336,8 +345,8 @@
 	return p
 }
 
-// renewal follows the chances of both states through a look-ahead in even steps: the stretch that runs now with its age,
-// and those that may begin later with theirs.
+// renewalUpProbability returns the probability of being up after d. It steps through the look-ahead in equal steps and keeps
+// the probabilities of both states by age: of the current interval, and of intervals that may begin later.
 func (x *Site) renewalUpProbability(up, down *[ageBins]float64, age, d time.Duration) float64 {
 	if d <= 0 {
 		if x.State == Up {
@@ -349,12 +358,12 @@
 	mean := min(1/x.Durations[0].meanHazard(), 1/x.Durations[1].meanHazard())
 	steps := max(minSteps, min(maxSteps, int(stepsPerInterval*d.Seconds()/mean)))
 	dt := d / time.Duration(steps)
-	var inInterval [2][maxSteps + 1]float64 // chance to have begun a stretch of this kind so many steps ago, and still be in it
-	var survives [2][maxSteps + 1]float64   // chance to last one more step, at that age
+	var inInterval [2][maxSteps + 1]float64 // probability that an interval of this kind began k steps ago and still runs
+	var survives [2][maxSteps + 1]float64   // probability that an interval of that age lasts one more step
 	for k := range steps + 1 {
 		survives[0][k], survives[1][k] = survivalProbability(up, time.Duration(k)*dt, dt), survivalProbability(down, time.Duration(k)*dt, dt)
 	}
-	inCurrent, current := 1.0, stateIndex(x.State)
+	inCurrent, current := 1.0, stateIndex(x.State) // inCurrent: probability that the current interval still runs
 	for range steps {
 		var begins [2]float64
 		stay := survivalProbability(hazards[current], age, dt)
@@ -383,7 +392,7 @@
 	return min(1, max(0, p))
 }
 
-// expect keeps forecasts to be judged when their time comes.
+// queueForecasts stores forecasts whose outcome is compared when their time comes.
 func (x *Site) queueForecasts(now int64) {
 	for i := range horizonCount {
 		spacing := horizonLengths[i].Milliseconds() / maxPending
@@ -395,14 +404,14 @@
 	}
 }
 
-// judge weighs the experts anew by what they said of now.
+// updateWeights updates the experts' weights from the forecasts that are due now.
 func (x *Site) updateWeights(now int64, state State) {
 	for i := range horizonCount {
 		for len(x.Pending[i]) > 0 && x.Pending[i][0].DueMs <= now {
 			f := x.Pending[i][0]
 			x.Pending[i] = x.Pending[i][1:]
 			if now-f.DueMs > horizonLengths[i].Milliseconds()/4 {
-				continue // it was out of sight then
+				continue // the site was not observed at that time
 			}
 			w, sum := &x.Weights[i], 0.0
 			for e := range expertCount {
@@ -420,13 +429,13 @@
 	}
 }
 
-// Forecast is what can be said of a site at a time.
+// Forecast is the forecast for a site at a time.
 type Forecast struct {
-	UpProbability float64 // chance to be reached
-	HasEvidence   bool    // there is evidence enough to plan by it
+	UpProbability float64
+	HasEvidence   bool // there is enough evidence to plan with it
 }
 
-// Forecast tells how likely a site is to be reached at a time.
+// Forecast returns how likely a site is to be reachable at a time.
 func (s *Forecaster) Forecast(now, at int64, name string, calendar []Span) Forecast {
 	x := s.Sites[name]
 	if x == nil {
@@ -442,11 +451,11 @@
 	calendarTrust := x.OutagesOccurred / max(1, x.OutagesPlanned)
 	switch planned, current := outageAt(calendar, at), outageAt(calendar, now); {
 	case planned != nil && (x.State == Down || planned != current):
-		f.UpProbability *= 1 - calendarTrust // it is expected, unless it is under way and the site is seen to be up
+		f.UpProbability *= 1 - calendarTrust // not for an outage that should have begun while the site is observed to be up
 		f.HasEvidence = true
-	case planned != nil: // planned for now, and it has not come so far
+	case planned != nil: // planned for now, but the site is up so far
 		f.UpProbability *= 1 - calendarTrust*0.5
-	case current != nil && x.State == Down: // the outage that is under way will be over by then
+	case current != nil && x.State == Down: // the current planned outage will be over by then
 		f.UpProbability = calendarTrust*max(f.UpProbability, p[2]) + (1-calendarTrust)*f.UpProbability
 		f.HasEvidence = true
 	}
@@ -454,7 +463,7 @@
 	return f
 }
 
-// Lasts is the chance that a site, once reached at a time, stays so for d.
+// StayUpProbability returns the probability that a site which is up at a time stays up for d.
 func (s *Forecaster) StayUpProbability(now, at int64, name string, d time.Duration) float64 {
 	x := s.Sites[name]
 	if x == nil {
@@ -468,16 +477,17 @@
 	return survivalProbability(&up, age, d)
 }
 
-// Evidence is what one dispatcher met at one site since it told last.
+// Evidence counts one dispatcher's attempts at one site since its previous report.
 type Evidence struct {
 	Site       string `json:"site"`
-	Answered   int    `json:"answered"` // attempts that brought any answer in time or late, also an error or a refusal
-	Unanswered int    `json:"silent"`   // attempts and connections that nothing came of
+	Answered   int    `json:"answered"` // attempts with any answer, in time or late, errors and refusals included
+	Unanswered int    `json:"silent"`   // attempts and connections without an answer
 }
 
-// Pool makes states of sites from what dispatchers met. Danger: one that is cut off by itself meets silence at all sites,
-// and would have them all for lost; whoever has had no answer from anywhere says nothing about any site. A slow site
-// answers late, and is not a lost one. Sites that nobody had anything to do with stay unknown.
+// MergeEvidence derives the states of sites from all dispatchers' evidence. A dispatcher that is cut off from the network gets
+// no answer from any site and would report them all as lost, so missing answers count only from a dispatcher that got an
+// answer from some site. A slow site answers late and does not count as lost. Sites that no dispatcher sent anything to are
+// left out, and so stay unknown.
 func MergeEvidence(reports map[string][]Evidence) map[string]State {
 	reached, unreached := map[string]int{}, map[string]int{}
 	for _, list := range reports {
@@ -508,5 +518,5 @@
 	return states
 }
 
-// silentEnough is how many attempts nothing has to come of: one or two are lost on any network.
+// minUnanswered is how many attempts have to go unanswered to count against a site: any network loses one or two.
 const minUnanswered = 3
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -1,5 +1,6 @@
-// Package cordon decides which servers may be closed to new work together, whom a cordon covers, and how far one has
-// got. A cordon narrows what discovery's list allows; it never adds a server.
+// Package cordon decides which servers may be closed to new work at the same time, which servers a cordon covers, and which
+// servers are outliers by the dispatchers' evidence. A cordon closes a server to new work on all dispatchers (the gateways
+// that share the replicated configuration). It only restricts the list from discovery and never adds a server to it.
 package cordon
 
 import (
@@ -10,18 +11,18 @@
 	"slices"
 )
 
-// Target is what a cordon closes: one life of a server, or all that bear its name.
+// Target is what a cordon closes: one incarnation of a server, or every incarnation with its name.
 type Target struct {
 	Host string `json:"host"`
-	Born *int64 `json:"born_ms,omitempty"` // of one life, in Unix time and milliseconds; nil: the name, whatever its life
+	Born *int64 `json:"born_ms,omitempty"` // start of the one incarnation, in Unix milliseconds; nil: every incarnation
 }
 
-// Covers tells whether a server is closed by it.
+// Covers reports whether the target includes an incarnation of a server.
 func (t Target) Covers(host string, born int64) bool {
 	return t.Host == host && (t.Born == nil || *t.Born == born)
 }
 
-// ID names a target in the record.
+// ID identifies the target in the replicated state.
 func (t Target) ID() string {
 	if t.Born == nil {
 		return t.Host
@@ -29,30 +30,31 @@
 	return fmt.Sprintf("%s@%d", t.Host, *t.Born)
 }
 
-// Order is a cordon that was agreed.
+// Cordon is an agreed cordon.
 type Cordon struct {
 	Target
 	Author     string `json:"author"`
 	Reason     string `json:"reason"`
-	Since      int64  `json:"since_ms"`         // Unix time, by the clock of the leader that judged it
-	DurationMs int64  `json:"for_ms,omitempty"` // it expires after so long; 0: never by itself
+	Since      int64  `json:"since_ms"`         // Unix time, by the clock of the leader that accepted it
+	DurationMs int64  `json:"for_ms,omitempty"` // time until it expires; 0: it does not expire
 	Forced     bool   `json:"forced,omitempty"`
-	Automatic  bool   `json:"auto,omitempty"` // from the dispatchers' own evidence
+	Automatic  bool   `json:"auto,omitempty"` // it comes from the dispatchers' evidence, not from an operator
 }
 
-// Server is what the dispatchers' list says of one; part of the evidence that a cordon is judged on.
+// Server is a server in a dispatcher's list. The lists are the evidence that a cordon is checked against.
 type Server struct {
 	Host         string  `json:"host"`
 	Born         int64   `json:"born_ms,omitempty"`
 	Site         string  `json:"site,omitempty"`
-	Class        string  `json:"class,omitempty"` // of machine
+	Class        string  `json:"class,omitempty"` // machine class
 	Build        int     `json:"build"`
 	Weight       float64 `json:"weight"`
-	OutOfService bool    `json:"out,omitempty"` // it drains, is lost or is cold: it can't stand in for others now
+	OutOfService bool    `json:"out,omitempty"` // draining, lost or in slow start: it can't replace other servers now
 }
 
-// Pool makes one list of what several dispatchers list: a server is out if at least half of those that list it say so.
-// Danger: one dispatcher that is cut off by itself holds all servers for lost, and would use up every budget.
+// MergeLists merges the server lists of several dispatchers. A server is out of service if at least half of the dispatchers
+// that list it say so. Otherwise one dispatcher that is cut off from the network, and so considers every server lost, would
+// use up every budget.
 func MergeLists(lists map[string][]Server) []Server {
 	type tally struct {
 		Server
@@ -85,15 +87,15 @@
 	return merged
 }
 
-// Budget bounds what may be out of service together in one site and build.
+// Budget bounds what may be out of service at the same time in a group: the servers of one site and build.
 type Budget struct {
-	Share float64 `json:"share"` // of the group's weight, drains, lost and cold servers counted
+	Share float64 `json:"share"` // of the group's weight; draining, lost and slow-starting servers count as out
 }
 
-// DefaultBudget lets a quarter of a group be out.
+// DefaultBudget allows a quarter of a group to be out of service.
 func DefaultBudget() Budget { return Budget{Share: 0.25} }
 
-// Refusals of a cordon. All but ErrNone may be forced, with a name and a reason in the record.
+// Refusals of a cordon. All but ErrIncomplete may be overridden by force, with the author and the reason on record.
 var (
 	ErrIncomplete    = errors.New("a cordon needs a host, an author and a reason")
 	ErrUnknownServer = errors.New("no dispatcher lists this server")
@@ -101,9 +103,10 @@
 	ErrLastServer    = errors.New("it is the last server of its class that is in service")
 )
 
-// Judge tells whether a cordon may be added to those that stand. One server of a group may always be out alone, however
-// small the group, unless it is the last of its class. Danger: two cordons asked for in one moment are each within the
-// budget; they are judged one after the other, each on those agreed before it, in the order of the record.
+// Check returns nil if a cordon may be added to the existing ones. A single server of a group may always be out, however
+// small the group, unless it is the last of its class that is in service. Two cordons requested at the same time may each be
+// within the budget and exceed it together, so they have to be checked one after the other in log order, each with the
+// cordons agreed before it.
 func (b Budget) Check(t Target, existing map[string]Cordon, listed []Server) error {
 	var target *Server
 	for i := range listed {
@@ -145,28 +148,28 @@
 	return nil
 }
 
-// State is how far a cordon has got.
+// State is the progress of a cordon.
 type State string
 
 // States of a cordon. Only Confirmed says that the server may be switched off.
 const (
-	Propagating State = "reaching"  // agreed; some dispatchers may yet start work there
+	Propagating State = "reaching"  // agreed; some dispatchers may still start work there
 	Confirmed   State = "confirmed" // no dispatcher will start anything there
-	Lifting     State = "lifting"   // its lifting is agreed, and takes hold once all dispatchers know of it
+	Lifting     State = "lifting"   // its lift is agreed, and takes effect once all dispatchers know of it
 )
 
-// Report is one dispatcher's evidence on a server, of late.
+// Evidence counts one dispatcher's recent answers from a server.
 type Evidence struct {
 	Host     string  `json:"host"`
-	Answered float64 `json:"answered"` // attempts that it answered, well or with an error
-	Errors   float64 `json:"erred"`    // of these, with an error
+	Answered float64 `json:"answered"` // attempts that the server answered, successfully or with an error
+	Errors   float64 `json:"erred"`    // of these, the ones answered with an error
 }
 
-// keepReport is the part of what was told before that counts at the next beat: about the last 64 count, since a server that
-// fails is left alone for seconds between two attempts.
+// evidenceDecay is the weight that earlier evidence keeps at each heartbeat, so that about the last 64 count. So many are
+// needed because a failing server gets an attempt only every few seconds.
 const evidenceDecay = 63.0 / 64
 
-// Fold adds what a dispatcher tells now to what it told before, which counts for less and less.
+// AccumulateEvidence adds a dispatcher's latest evidence to its previous evidence, which decays exponentially.
 func AccumulateEvidence(previous, latest []Evidence) []Evidence {
 	sums := map[string]Evidence{}
 	for _, r := range previous {
@@ -183,17 +186,18 @@
 	return merged
 }
 
-// Auto is when servers are cordoned by the dispatchers' own evidence.
+// AutoPolicy sets when servers are cordoned on the dispatchers' evidence, without an operator.
 type AutoPolicy struct {
-	MinDispatchers int     `json:"agreeing"` // so many dispatchers have to see the same; 0: off
-	MaxCordons     int     `json:"most"`     // so many such cordons may stand together
-	ErrorShare     float64 `json:"share"`    // of a server's answers to one dispatcher that are errors
-	MinAnswers     int     `json:"least"`    // answers that a dispatcher needs to say anything
+	MinDispatchers int     `json:"agreeing"` // dispatchers that have to agree on an outlier; 0: off
+	MaxCordons     int     `json:"most"`     // automatic cordons that may exist at the same time
+	ErrorShare     float64 `json:"share"`    // share of errors in its answers to one dispatcher that makes a server an outlier
+	MinAnswers     int     `json:"least"`    // answers from a server that a dispatcher needs to judge it
 }
 
-// Suspects lists the servers to cordon, the worst first. Danger: a cut link looks like a dead server to all behind it;
-// so only answers count, never silence, and a dispatcher to whom most servers seem bad blames none: its own way out, or
-// what all servers lean on, is at fault then.
+// Outliers lists the servers to cordon (outlier detection), those that most dispatchers agree on first. A failed link makes a
+// server look dead to every dispatcher behind it, so only answers count as evidence, never missing ones. A dispatcher that
+// sees at least half of the servers fail is ignored: the fault is then in its own network path, or in something that all
+// servers depend on.
 func (a AutoPolicy) Outliers(reports map[string][]Evidence, existing map[string]Cordon) []string {
 	if a.MinDispatchers <= 0 || a.MaxCordons <= 0 {
 		return nil
--- a/internal/decide/ruleset/ruleset.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -1,10 +1,14 @@
-// Package ruleset decides what the agreed document of rules becomes by a change, which changes narrow what dispatchers
-// may do and which widen or move it, and what a dispatcher may do under the version that it holds.
+// Package ruleset decides how the versioned, replicated configuration changes: what a requested change makes of the current
+// version, which changes only narrow what dispatchers may do, and what a dispatcher may do under the version that it holds.
+// Registrars are the members of the Raft group that replicates the configuration; dispatchers are the gateways that act on
+// it and hold read leases on it. A dispatch is a piece of planned work, sent to a site within a time window.
 //
-// A change that narrows is in force with the version that brings it: who hears of it obeys at once. One that widens, or
-// moves something from one place to another, waits in the document until every dispatcher has taken in the version that
-// announces it; only the opening, a version of its own, puts it in force. So a dispatcher on an older version never
-// allows what a newer one forbids later than D, and no two of them act on rules that contradict each other unannounced.
+// Changes are activated in one or two phases. A change that narrows what dispatchers may do takes effect in the version
+// that contains it, and each dispatcher applies it as soon as it receives that version. A change that widens it, or moves
+// something from one place to another, is first announced: it stays pending in the document until every lease holder has
+// acknowledged the version that announced it. A later version, made by the registrars alone, then activates it. A
+// dispatcher on an older version therefore stops doing what a newer version forbids within the staleness bound of its lease
+// (lease.Terms.StalenessBound), and no two dispatchers act on contradicting rules that were not announced.
 package ruleset
 
 import (
@@ -21,81 +25,81 @@
 	"merlinarch/internal/decide/cordon"
 )
 
-// Bounds of the document and of an asking.
+// Bounds of the document and of a change request.
 const (
-	MaxRulesBytes    = 64 << 10 // bytes of the rules, with what waits, as JSON
-	MaxChanges       = 64       // of one asking
-	MaxTextBytes     = 512      // bytes of a name, a reason or a key
-	maxStoredAnswers = 4096     // answers that are kept for repeats
+	MaxRulesBytes    = 64 << 10 // size of the rules and the pending changes, as JSON
+	MaxChanges       = 64       // in one change request
+	MaxTextBytes     = 512      // length of a name, an author, a reason or a key
+	maxStoredAnswers = 4096     // answers stored for the deduplication of repeated requests
 )
 
-// Kind is a kind of change.
+// Kind is the kind of a change.
 type Kind string
 
 // Kinds of changes.
 const (
 	KindCordon   Kind = "cordon"   // closes a server to new work
 	KindLift     Kind = "lift"     // ends a cordon
-	KindCeiling  Kind = "ceiling"  // a bound on the exposure of builds on trial, below the platform's cap
-	KindFreeze   Kind = "freeze"   // no build gets any further: no votes on
+	KindCeiling  Kind = "ceiling"  // bounds the exposure (share of the traffic) of builds on trial, below the platform's cap
+	KindFreeze   Kind = "freeze"   // stops every rollout: no votes to advance a build
 	KindThaw     Kind = "thaw"     // ends a freeze
-	KindTenant   Kind = "tenant"   // a tenant's share
-	KindWorth    Kind = "worth"    // a class's worth
-	KindSite     Kind = "site"     // a site's calendar of planned outages
-	KindDispatch Kind = "dispatch" // a piece of planned work
-	KindWithdraw Kind = "withdraw" // takes a piece of planned work back
-	KindExpect   Kind = "expect"   // a dispatcher that has to be there
-	KindDismiss  Kind = "dismiss"  // one that need not be there any more
+	KindTenant   Kind = "tenant"   // sets a tenant's share
+	KindWorth    Kind = "worth"    // sets a request class's worth
+	KindSite     Kind = "site"     // sets a site's calendar of planned outages
+	KindDispatch Kind = "dispatch" // adds a piece of planned work
+	KindWithdraw Kind = "withdraw" // cancels a piece of planned work
+	KindExpect   Kind = "expect"   // adds a dispatcher that is required to be present
+	KindDismiss  Kind = "dismiss"  // ends that requirement
 )
 
-// Kinds is all that this program understands.
+// SupportedKinds lists the kinds of changes that this program understands.
 var SupportedKinds = []string{string(KindCordon), string(KindLift), string(KindCeiling), string(KindFreeze), string(KindThaw),
 	string(KindTenant), string(KindWorth), string(KindSite), string(KindDispatch), string(KindWithdraw), string(KindExpect),
 	string(KindDismiss)}
 
-// Change is one change of the rules. Which fields count depends on its kind.
+// Change is one change of the rules. Its kind determines which fields are used.
 type Change struct {
 	Kind       Kind           `json:"kind"`
-	Name       string         `json:"name,omitempty"`  // of the tenant, class, site, dispatch or dispatcher; a cordon's ID to lift
-	Value      *float64       `json:"value,omitempty"` // a share, a worth or a ceiling; nil takes the rule away
+	Name       string         `json:"name,omitempty"`  // of the tenant, class, site, dispatch or dispatcher; for KindLift, the cordon's ID
+	Value      *float64       `json:"value,omitempty"` // a share, a worth or a ceiling; nil removes the rule
 	Cordon     *cordon.Target `json:"cordon,omitempty"`
-	DurationMs int64          `json:"for_ms,omitempty"` // of a cordon: it expires after so long; 0: never by itself
-	Automatic  bool           `json:"auto,omitempty"`   // of a cordon: by the dispatchers' own evidence
+	DurationMs int64          `json:"for_ms,omitempty"` // time until a cordon expires; 0: it does not expire
+	Automatic  bool           `json:"auto,omitempty"`   // the cordon comes from the dispatchers' evidence, not from an operator
 	Site       *Site          `json:"site,omitempty"`
 	Dispatch   *Dispatch      `json:"work,omitempty"`
 }
 
-// Span is a stretch of time, in Unix milliseconds.
+// Span is a time interval, in Unix milliseconds.
 type Span struct {
 	From  int64 `json:"from_ms"`
 	Until int64 `json:"until_ms"`
 }
 
-// Site is what operators know of a site.
+// Site holds what operators have configured for a site.
 type Site struct {
-	Outages []Span `json:"outages,omitempty"` // planned: it is expected not to be reachable
+	Outages []Span `json:"outages,omitempty"` // planned times at which the site is expected to be unreachable
 }
 
-// Work is a dispatch: a piece of planned work, sent once, to a receiver in a site.
+// Dispatch is a piece of planned work that is sent once, to a receiver in a site.
 type Dispatch struct {
 	Site               string  `json:"site"`
-	Class              string  `json:"class"`  // of request, as the settings name it
-	Target             string  `json:"target"` // path and query that it asks for
+	Class              string  `json:"class"`  // of request, by its name in the settings
+	Target             string  `json:"target"` // path and query of the request
 	Body               string  `json:"body,omitempty"`
-	Earliest           int64   `json:"earliest_ms"`
-	Latest             int64   `json:"latest_ms"`
+	Earliest           int64   `json:"earliest_ms"` // Unix time
+	Latest             int64   `json:"latest_ms"`   // Unix time by which it has to be done
 	Worth              float64 `json:"worth"`
-	ExpectedDurationMs float64 `json:"took_ms,omitempty"` // it is expected to take so long
+	ExpectedDurationMs float64 `json:"took_ms,omitempty"`
 }
 
-// Note is who set something, why and when.
+// Provenance records who set something, why and when.
 type Provenance struct {
 	Author string `json:"author"`
 	Reason string `json:"reason"`
 	Since  int64  `json:"since_ms"`
 }
 
-// Rules are the rules in force, as one document.
+// Rules holds the rules that are in force.
 type Rules struct {
 	Cordons    map[string]cordon.Cordon `json:"cordons,omitempty"`
 	Ceiling    *float64                 `json:"ceiling,omitempty"`
@@ -105,47 +109,47 @@
 	Sites      map[string]Site          `json:"sites,omitempty"`
 	Dispatches map[string]Dispatch      `json:"dispatches,omitempty"`
 	Expected   map[string]Provenance    `json:"expected,omitempty"`
-	Lifted     map[string]int64         `json:"lifted,omitempty"` // by host, Unix ms: cordons lifted of late; they come back cold
+	Lifted     map[string]int64         `json:"lifted,omitempty"` // Unix ms by host: recently lifted cordons, whose servers return with slow start
 }
 
-// Waiting is a change that is agreed and not yet in force.
+// PendingChange is a change that is agreed and not yet in force.
 type PendingChange struct {
-	Version uint64 `json:"version"` // that announced it
+	Version uint64 `json:"version"` // that announced the change
 	Change  Change `json:"change"`
 	Provenance
 }
 
-// Head tells a version from all others.
+// Head identifies a version.
 type Head struct {
 	Version      uint64 `json:"version"`
-	PreviousHash string `json:"before"` // the hash of the version before
-	Hash         string `json:"hash"`   // over the version, the one before, who asked and why, and the whole document
+	PreviousHash string `json:"before"` // the hash of the previous version
+	Hash         string `json:"hash"`   // over the version, the previous hash, the provenance and the whole document
 	Provenance
-	ActivatesUpTo uint64 `json:"opens,omitempty"` // not a change of its own: what waits up to this version is in force now
+	ActivatesUpTo uint64 `json:"opens,omitempty"` // set in a version that activates pending changes: those announced up to this version
 }
 
-// Document is one whole version.
+// Document is one complete version.
 type Document struct {
 	Head    Head            `json:"head"`
 	Rules   Rules           `json:"rules"`
 	Pending []PendingChange `json:"waiting,omitempty"`
 }
 
-// Seal is the hash of a document, whatever its Head.Hash says.
+// ComputeHash returns the hash of the document. It ignores Head.Hash.
 func (d Document) ComputeHash() string {
 	d.Head.Hash = ""
-	text, err := json.Marshal(d) // maps are written in order of their keys
+	text, err := json.Marshal(d) // maps are encoded in the order of their keys
 	if err != nil {
-		panic(err) // numbers that JSON does not have are refused by check
+		panic(err) // validate refuses the numbers that JSON can't represent
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// Genuine tells whether a document is whole and as it was agreed.
+// HasValidHash reports whether the document is complete and unchanged since it was agreed.
 func (d Document) HasValidHash() bool { return d.Head.Hash == d.ComputeHash() }
 
-// Needs lists the kinds of rules that a document holds, in order.
+// RuleKinds lists the kinds of rules that the document holds, in a fixed order.
 func (d Document) RuleKinds() []string {
 	var kinds []string
 	addIf := func(k Kind, present bool) {
@@ -165,53 +169,53 @@
 	return kinds
 }
 
-// Ask is what an operator, or the registrars themselves, want changed.
+// ChangeRequest is a set of changes requested by an operator or by the registrars themselves.
 type ChangeRequest struct {
-	Key         string          `json:"key"`  // its own; a repeat gets the first answer
-	BaseVersion uint64          `json:"base"` // the version that it rests on
+	Key         string          `json:"key"`  // idempotency key: a repeated request gets the first answer
+	BaseVersion uint64          `json:"base"` // the version that the request is based on
 	Author      string          `json:"author"`
 	Reason      string          `json:"reason"`
 	Forced      bool            `json:"forced,omitempty"`
 	Changes     []Change        `json:"changes"`
-	Evidence    []cordon.Server `json:"evidence,omitempty"` // what the dispatchers list, put in by the leader
+	Evidence    []cordon.Server `json:"evidence,omitempty"` // the dispatchers' server lists, added by the leader
 }
 
-// Answer is what became of an Ask.
+// Answer is the outcome of a ChangeRequest.
 type Answer struct {
-	Version      uint64 `json:"version"`           // that it made; of the present one where it was refused
-	Refused      string `json:"refused,omitempty"` // a code; empty: agreed
+	Version      uint64 `json:"version"`           // that the request made; if it was refused, the current one
+	Refused      string `json:"refused,omitempty"` // a refusal code; empty: the request is agreed
 	Text         string `json:"text,omitempty"`
-	PendingCount int    `json:"waits,omitempty"` // of its changes, those that are in force only once all dispatchers know
+	PendingCount int    `json:"waits,omitempty"` // how many of its changes wait for the acknowledgement of all lease holders
 }
 
-// Codes of refusals.
+// Refusal codes.
 const (
-	RefusedStale     = "stale"  // it rests on a version that is not the present one
-	RefusedKeyReused = "key"    // another asking had this key
-	RefusedInvalid   = "wrong"  // it can't be
-	RefusedBudget    = "budget" // of cordons
-	RefusedTooLarge  = "large"  // the document would be larger than MaxRules
+	RefusedStale     = "stale"  // the base version is not the current one
+	RefusedKeyReused = "key"    // another request had this key
+	RefusedInvalid   = "wrong"  // the request is invalid
+	RefusedBudget    = "budget" // the budget of cordons is exceeded
+	RefusedTooLarge  = "large"  // the rules would be larger than MaxRulesBytes
 )
 
-// kept is an answer for repeats.
+// storedAnswer is an answer that is stored for repeated requests.
 type storedAnswer struct {
 	Key    string `json:"key"`
-	Digest string `json:"sum"` // of the asking
+	Digest string `json:"sum"` // of the request
 	Answer Answer `json:"answer"`
 }
 
-// Book is the present version, and what it takes to judge the next. Every registrar's is the same.
+// State holds the current version and what is needed to evaluate the next request. It is identical on all registrars.
 type State struct {
 	Document Document       `json:"document"`
 	Budget   cordon.Budget  `json:"budget"`
-	ColdMs   int64          `json:"cold_ms"` // a server whose cordon was lifted is cold for so long
+	ColdMs   int64          `json:"cold_ms"` // length of the slow start of a server whose cordon was lifted
 	Answers  []storedAnswer `json:"answers,omitempty"`
 
-	indexByKey map[string]int // index into Answers; made when first needed
+	indexByKey map[string]int // index into Answers; built at first use
 	lastStep   Step
 }
 
-// New is version 1, which holds nothing.
+// New returns the state at version 1, which holds no rules.
 func New(budget cordon.Budget, coldMs int64) *State {
 	b := &State{Budget: budget, ColdMs: coldMs}
 	b.Document.Head = Head{Version: 1, Provenance: Provenance{Author: "registrar", Reason: "the first version"}}
@@ -219,12 +223,12 @@
 	return b
 }
 
-// errWrong is an asking that can't be.
+// errInvalid is the reason why a request is invalid. Its text is stored with the answer.
 type errInvalid string
 
 func (e errInvalid) Error() string { return string(e) }
 
-// check finds what is wrong with a change by itself.
+// validate checks a change on its own, without regard to the rules in force.
 func (c Change) validate() error {
 	invalid := func(format string, args ...any) error {
 		return errInvalid(string(c.Kind) + ": " + fmt.Sprintf(format, args...))
@@ -273,7 +277,7 @@
 	return nil
 }
 
-// about names what a change is about: a later change about the same thing takes the place of one that waits.
+// subject identifies what a change applies to. A later change with the same subject replaces a pending one.
 func (c Change) subject() string {
 	switch c.Kind {
 	case KindCordon:
@@ -291,7 +295,7 @@
 	}
 }
 
-// lower tells whether a number takes away from what holds now; nil stands for no rule.
+// isLower reports whether next is lower than now. A nil number stands for no rule and counts as defaultValue.
 func isLower(next, now *float64, defaultValue float64) bool {
 	nextValue, nowValue := defaultValue, defaultValue
 	if next != nil {
@@ -303,18 +307,20 @@
 	return nextValue < nowValue
 }
 
-// Narrows tells whether a change only takes away from what dispatchers may do. The table, with its reasons:
+// Narrows reports whether a change only reduces what dispatchers may do. Such a change takes effect at once; one that widens
+// or moves something waits until every lease holder has acknowledged it. The reasons by kind:
 //
 //	cordon             narrows  less may be sent
-//	lift               widens   who has not heard of the lifting still sends nothing there: no harm; but who confirmed
-//	                            that nothing starts there must not start before all that rely on it know
-//	ceiling, lower     narrows  less of a build on trial; higher, or none: widens
+//	lift               widens   a dispatcher that does not know of the lift yet sends nothing there, which does no harm;
+//	                            but one that confirmed that nothing starts there must not start anything before all
+//	                            that rely on the confirmation know of the lift
+//	ceiling, lower     narrows  less traffic to a build on trial; a higher ceiling or none widens
 //	freeze             narrows  fewer votes; thaw widens
-//	tenant             moves    shares add up to a whole: what one gains the others lose
+//	tenant             moves    shares add up to a whole: what one tenant gains the others lose
 //	worth              moves    it orders classes against each other
-//	site               moves    plans of two dispatchers made on two calendars contradict each other
+//	site               moves    the plans of two dispatchers with different calendars would contradict each other
 //	dispatch           widens   there is more to send; withdraw narrows
-//	expect             narrows  more dispatchers have to be heard; dismiss widens
+//	expect             narrows  more dispatchers have to acknowledge; dismiss widens
 func (r *Rules) Narrows(c Change) bool {
 	switch c.Kind {
 	case KindCordon, KindFreeze, KindWithdraw, KindExpect:
@@ -326,7 +332,7 @@
 	}
 }
 
-// put carries out one change.
+// apply puts one change in force.
 func (r *Rules) apply(c Change, provenance Provenance, forced bool) {
 	switch c.Kind {
 	case KindCordon:
@@ -365,6 +371,7 @@
 	}
 }
 
+// setEntry sets an entry of a map, and makes the map if there is none.
 func setEntry[V any](m *map[string]V, name string, v V) {
 	if *m == nil {
 		*m = map[string]V{}
@@ -372,6 +379,7 @@
 	(*m)[name] = v
 }
 
+// setNumber sets the number that a change gives to its name, or deletes it if the change has no value.
 func setNumber(m *map[string]float64, c Change) {
 	if c.Value == nil {
 		delete(*m, c.Name)
@@ -380,7 +388,7 @@
 	setEntry(m, c.Name, *c.Value)
 }
 
-// clone copies what put may write to.
+// clone copies everything that apply may write to.
 func (r Rules) clone() Rules {
 	r.Cordons, r.Tenants, r.Worth = maps.Clone(r.Cordons), maps.Clone(r.Tenants), maps.Clone(r.Worth)
 	r.Sites, r.Dispatches = maps.Clone(r.Sites), maps.Clone(r.Dispatches)
@@ -388,19 +396,20 @@
 	return r
 }
 
-// sum tells askings apart; the leader's evidence is no part of what was asked.
+// digest identifies the content of a request. The evidence is not part of it, since the leader adds it.
 func (a ChangeRequest) digest() string {
 	a.Evidence = nil
 	text, err := json.Marshal(a)
 	if err != nil {
-		return "" // a number that JSON does not have; check refuses it
+		return "" // a number that JSON can't represent; validate refuses it
 	}
 	h := sha256.Sum256(text)
 	return hex.EncodeToString(h[:8])
 }
 
-// Ask judges an asking and makes the next version of it, or refuses it; now is Unix time in milliseconds, by the clock
-// of the leader that took it. Danger: an operator whose answer was lost asks again; the same key gets the same answer.
+// Submit makes the next version from a request, or refuses it; now is Unix time in milliseconds, by the clock of the leader
+// that accepted the request. A repeated key gets the stored answer, so that an operator whose answer was lost can repeat the
+// request safely.
 func (b *State) Submit(request ChangeRequest, now int64) Answer {
 	if b.indexByKey == nil {
 		b.indexByKey = map[string]int{}
@@ -419,7 +428,7 @@
 	if request.Key == "" || len(request.Key) > MaxTextBytes {
 		return answer
 	}
-	if len(b.Answers) >= maxStoredAnswers { // one that is forgotten rests on a version long gone, and is refused for that
+	if len(b.Answers) >= maxStoredAnswers { // a request whose answer is dropped has an old base version, and is refused as stale
 		b.Answers = slices.Clone(b.Answers[len(b.Answers)/2:])
 		b.indexByKey = map[string]int{}
 		for i, k := range b.Answers {
@@ -431,6 +440,7 @@
 	return answer
 }
 
+// evaluate checks a request that was not seen before, and commits the version that it makes.
 func (b *State) evaluate(request ChangeRequest, now int64) Answer {
 	head := b.Document.Head
 	refuse := func(code, text string) Answer { return Answer{Version: head.Version, Refused: code, Text: text} }
@@ -446,7 +456,7 @@
 	}
 	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash, Provenance: Provenance{Author: request.Author, Reason: request.Reason, Since: now}},
 		Changes: request.Changes, Forced: request.Forced}
-	// Each change is judged on the rules as the ones before it in the same asking leave them.
+	// Each change is checked against the rules as the earlier changes of the same request leave them.
 	next := b.Document.draftNext(step.Head)
 	for _, c := range request.Changes {
 		if err := c.validate(); err != nil {
@@ -476,19 +486,19 @@
 	return Answer{Version: next.Head.Version, PendingCount: pendingCount}
 }
 
-// Step is what makes a version out of the one before.
+// Step holds what makes a version from the previous one.
 type Step struct {
 	Head    Head     `json:"head"`
 	Changes []Change `json:"changes,omitempty"`
 	Forced  bool     `json:"forced,omitempty"`
 }
 
-// begin is the next version before its changes.
+// draftNext returns the next version before its changes are applied.
 func (d Document) draftNext(h Head) Document {
 	return Document{Head: h, Rules: d.Rules.clone(), Pending: slices.Clone(d.Pending)}
 }
 
-// fits tells what keeps a change, right by itself, from these rules.
+// checkApplicable returns why a change that is valid on its own can't be applied to these rules.
 func (d *Document) checkApplicable(c Change) error {
 	exists := false
 	switch c.Kind {
@@ -509,7 +519,8 @@
 	return nil
 }
 
-// add carries out a change that narrows, and lets any other wait.
+// applyOrDefer applies a change that narrows, and makes any other one pending. It replaces a pending change with the same
+// subject.
 func (d *Document) applyOrDefer(c Change, forced bool) {
 	d.Pending = slices.DeleteFunc(d.Pending, func(w PendingChange) bool { return w.Change.subject() == c.subject() })
 	if d.Rules.Narrows(c) {
@@ -519,7 +530,7 @@
 	d.Pending = append(d.Pending, PendingChange{Version: d.Head.Version, Change: c, Provenance: d.Head.Provenance})
 }
 
-// open puts in force what waits up to a version, and tells how much that was.
+// activate applies the pending changes announced up to a version, and returns their number.
 func (d *Document) activate(upTo uint64) int {
 	activated := 0
 	d.Pending = slices.DeleteFunc(d.Pending, func(w PendingChange) bool {
@@ -535,7 +546,7 @@
 	return activated
 }
 
-// forget drops liftings that are so long ago that their servers are not cold any more.
+// dropExpiredLifts drops the lifts whose servers have finished their slow start.
 func (d *Document) dropExpiredLifts(coldMs int64) {
 	maps.DeleteFunc(d.Rules.Lifted, func(_ string, at int64) bool { return d.Head.Since-at > coldMs })
 	if len(d.Rules.Lifted) == 0 {
@@ -543,8 +554,8 @@
 	}
 }
 
-// Follow makes the version that a step made out of a document; the record keeps steps, and whole versions are read
-// back with it. An error tells that the two do not belong together, or that one of them is spoilt.
+// ApplyStep makes the version that a step led to from the previous document. The store keeps steps, and complete versions
+// are rebuilt from them. It returns an error if the step does not follow the document, or if either is corrupt.
 func ApplyStep(d Document, step Step, coldMs int64) (Document, error) {
 	if step.Head.Version != d.Head.Version+1 || step.Head.PreviousHash != d.Head.Hash {
 		return d, fmt.Errorf("version %d does not follow version %d", step.Head.Version, d.Head.Version)
@@ -563,10 +574,10 @@
 	return next, nil
 }
 
-// seal makes a document the present version, unless it is too large.
+// commit makes next the current version, and reports whether it did: next must not be too large.
 func (b *State) commit(next *Document, step Step) bool {
 	next.dropExpiredLifts(b.ColdMs)
-	text, err := json.Marshal(struct {
+	text, err := json.Marshal(struct { // encoded under these names, which are part of the size
 		Rules   Rules
 		Waiting []PendingChange
 	}{next.Rules, next.Pending})
@@ -579,10 +590,10 @@
 	return true
 }
 
-// Last is the step that made the present version; its Version is 0 where it was made before this process.
+// LastStep returns the step that made the current version. Its Version is 0 if this process did not make it.
 func (b *State) LastStep() Step { return b.lastStep }
 
-// Ready is the newest version that announced something which waits; 0: nothing does.
+// NewestPending returns the newest version that announced a change which is still pending; 0 if there is none.
 func (b *State) NewestPending() uint64 {
 	newest := uint64(0)
 	for _, w := range b.Document.Pending {
@@ -591,10 +602,10 @@
 	return newest
 }
 
-// ErrNothing tells that nothing waits up to a version.
+// ErrNothingPending says that no change is pending up to a version.
 var ErrNothingPending = errors.New("nothing waits up to this version")
 
-// Open puts in force what was announced up to a version, as a version of its own. The caller has made sure that no
+// Activate makes a version that puts in force the changes announced up to a version. The caller has to make sure that no
 // dispatcher acts on an older one any more.
 func (b *State) Activate(upTo uint64, now int64) error {
 	head := b.Document.Head
@@ -610,7 +621,7 @@
 	return nil
 }
 
-// Clone is a copy that goes its own way.
+// Clone returns an independent copy.
 func (b *State) Clone() *State {
 	c := *b
 	c.Answers, c.indexByKey = slices.Clone(b.Answers), nil
--- a/internal/decide/ruleset/view.go
+++ b/internal/decide/ruleset/view.go
@@ -8,13 +8,13 @@
 	"merlinarch/logic"
 )
 
-// View is a document as a dispatcher acts on it. It is never changed once made.
+// View is a document in the form that a dispatcher applies. It is immutable.
 type View struct {
 	Document      Document
-	cordonsByHost map[string][]cordon.Cordon // by host
+	cordonsByHost map[string][]cordon.Cordon
 }
 
-// NewView reads a document.
+// NewView returns the view of a document.
 func NewView(d Document) *View {
 	v := &View{Document: d, cordonsByHost: map[string][]cordon.Cordon{}}
 	for _, o := range d.Rules.Cordons {
@@ -23,15 +23,15 @@
 	return v
 }
 
-// Unknown lists the kinds of rules in a document that a program which knows some does not understand.
+// UnsupportedKinds lists the kinds of rules in a document that are not among the supported ones.
 func UnsupportedKinds(d Document, supported []string) []string {
 	return slices.DeleteFunc(d.RuleKinds(), func(k string) bool { return slices.Contains(supported, k) })
 }
 
-// Version is the document's.
+// Version returns the document's version.
 func (v *View) Version() uint64 { return v.Document.Head.Version }
 
-// Open tells whether a life of a server may be sent new work.
+// AllowsNewWork reports whether an incarnation of a server, identified by its start time born, may receive new work.
 func (v *View) AllowsNewWork(host string, born int64) bool {
 	for _, o := range v.cordonsByHost[host] {
 		if o.Covers(host, born) {
@@ -41,16 +41,16 @@
 	return true
 }
 
-// Planned tells whether a piece of planned work is still to be done.
+// IsPlanned reports whether a dispatch is still in the rules.
 func (v *View) IsPlanned(name string) bool {
 	_, ok := v.Document.Rules.Dispatches[name]
 	return ok
 }
 
-// LiftedAt tells when a server's cordon was lifted, in Unix milliseconds; 0: not of late.
+// LiftedAt returns when a server's cordon was lifted, in Unix milliseconds; 0 if none was lifted recently.
 func (v *View) LiftedAt(host string) int64 { return v.Document.Rules.Lifted[host] }
 
-// State is a server's place in its life as its list tells, narrowed by the rules.
+// RestrictState returns the listed state of a server, or Draining if the server is ready and a cordon closes it.
 func (v *View) RestrictState(host string, born int64, listed logic.ServerState) logic.ServerState {
 	if listed == logic.Ready && !v.AllowsNewWork(host, born) {
 		return logic.Draining
@@ -58,8 +58,8 @@
 	return listed
 }
 
-// Release narrows the platform's news: the exposure of a build on trial keeps under the ceiling, and without a lease
-// nothing goes to it.
+// RestrictRelease restricts the platform's release status: the exposure of a build on trial stays within the ceiling, and
+// without a full lease the build gets no traffic.
 func (v *View) RestrictRelease(status logic.ReleaseStatus, permission lease.Permission) logic.ReleaseStatus {
 	if status.Phase != logic.OnTrial {
 		return status
@@ -73,7 +73,7 @@
 	return status
 }
 
-// Vote narrows a vote: during a freeze, and without a lease, none takes a build further.
+// RestrictVote turns a vote to advance a build into a hold during a freeze or without a full lease.
 func (v *View) RestrictVote(vote logic.Vote, permission lease.Permission) logic.Vote {
 	if vote.Verdict == logic.VoteAdvance && (v.Document.Rules.Freeze != nil || permission != lease.Full) {
 		vote.Verdict = logic.VoteHold
--- a/internal/decide/schedule/schedule.go
+++ b/internal/decide/schedule/schedule.go
@@ -1,10 +1,10 @@
-// Package schedule decides what planned work is sent when: which dispatch is tried now, which waits for a better time, and
-// which is given up at once since it can't be done in time any more.
+// Package schedule decides when planned work is sent to sites with intermittent links: which dispatch (a piece of planned
+// work) is tried now, which waits for a better time, and which is given up at once since it can't be finished in time.
 //
-// It follows contact graph routing (CCSDS 734.20) in planning on contacts rather than on links, with contacts that are
-// forecast (package contact) instead of scheduled. A try costs something if nothing comes of it, and a wait may cost the
-// whole piece of work; so one is tried where its chance now is worth more than what waiting promises, and what would be
-// lost first goes first. A site that is back gets its backlog in measured amounts: its servers are cold.
+// Like contact graph routing (CCSDS 734.20) it plans with contacts instead of links, but the contacts are forecast (package
+// contact) instead of scheduled. A failed try has a cost, and waiting may lose the whole dispatch. A dispatch is therefore
+// tried when a try now is worth more than the expected value of waiting, and the one that would be lost first goes first. A
+// site that has become reachable again gets its backlog in limited amounts, since its servers are in slow start.
 package schedule
 
 import (
@@ -14,68 +14,69 @@
 	"time"
 )
 
-// Job is a piece of planned work that is not done.
+// Job is a dispatch that is not done yet.
 type Job struct {
 	ID               string
 	Site             string
-	Earliest         int64 // ms
-	Latest           int64 // it has to be done by then
+	Earliest         int64 // Unix ms
+	Latest           int64 // Unix ms by which it has to be done
 	Worth            float64
-	ExpectedDuration time.Duration // it is expected to take so long
-	LastTriedMs      int64         // when it was tried last, in ms; 0: never
-	FailedTries      int           // tries that nothing came of
-	InFlight         bool          // it is being tried
+	ExpectedDuration time.Duration // from its start to its end
+	LastTriedMs      int64         // Unix ms of the last try; 0: never tried
+	FailedTries      int           // tries that failed
+	InFlight         bool          // a try is under way
 }
 
-// Settings are the prices and bounds of a plan.
+// Settings holds the costs and bounds of planning.
 type Settings struct {
-	FailedTryCost  float64       // price of a try that nothing comes of, in worth
-	PlanInterval   time.Duration // a plan is made so often
-	LookAheadSteps int           // times that are looked at between now and a job's latest
-	MaxInFlight    int           // tries that may be out at one site together, when it is warm
-	ColdPeriod     time.Duration // a site that has come back is cold for so long
-	ColdShare      float64       // part of Room at its return; it grows evenly to all of it
+	FailedTryCost  float64       // cost of a failed try, as a share of the job's worth
+	PlanInterval   time.Duration // time between two plans
+	LookAheadSteps int           // times compared between now and a job's latest start
+	MaxInFlight    int           // concurrency limit of tries at one site after its slow start
+	ColdPeriod     time.Duration // length of the slow start of a site that is reachable again
+	ColdShare      float64       // share of MaxInFlight when a site is reachable again; it grows linearly to 1 during ColdPeriod
 }
 
-// DefaultSettings are for sites with a few servers.
+// DefaultSettings returns settings for sites with a few servers.
 func DefaultSettings() Settings {
 	return Settings{FailedTryCost: 0.05, PlanInterval: time.Second, LookAheadSteps: 24, MaxInFlight: 8, ColdPeriod: time.Minute, ColdShare: 0.25}
 }
 
-// Site is what a plan needs to know of one.
+// Site gives the forecasts and observations of a site that a plan needs.
 type Site interface {
-	// Up is the chance that the site is reached at a time, and whether there is evidence to say so.
+	// UpProbability returns the probability that the site is reachable at a time, and whether it rests on evidence.
 	UpProbability(at int64) (p float64, known bool)
-	// Lasts is the chance that it stays so for d from then on.
+	// StayUpProbability returns the probability that the site, reachable at a time, stays so for d.
 	StayUpProbability(at int64, d time.Duration) float64
-	// Reached tells whether it is seen to be up now, and since when, in ms; at is when it was seen last.
+	// LastObservation returns whether the site was up when last observed, since when it has been in that state, and when it
+	// was last observed, both in Unix ms.
 	LastObservation() (up bool, since, at int64)
 }
 
-// What is to be done with a job.
+// Verdict is what to do with a job now.
 type Verdict int
 
-// Verdicts.
+// The verdicts.
 const (
 	Wait Verdict = iota
 	Try
 	GiveUp
 )
 
-// Step is one of a plan.
+// Decision is the part of a plan for one job.
 type Decision struct {
 	Job       string
 	Verdict   Verdict
-	RetryAtMs int64  // of a Wait: when it looks best, in ms
-	Reason    string // of a GiveUp
+	RetryAtMs int64  // for Wait: Unix ms of the next time to consider the job
+	Reason    string // for GiveUp
 }
 
-// room is how many tries may be out at a site at its age since its return. Danger: all that has waited would come at
-// once to servers that have just started.
+// tryLimit returns how many tries may be in flight at a site, by the time since it became reachable. Without this limit the
+// whole backlog would be sent at once to servers that have just started.
 func (s Settings) tryLimit(site Site, now int64) int {
 	up, since, _ := site.LastObservation()
 	if !up {
-		return 1 // a try that finds out
+		return 1 // a single try finds out whether the site is up
 	}
 	allowed := 1.0
 	if age := time.Duration(now-since) * time.Millisecond; age < s.ColdPeriod {
@@ -84,14 +85,15 @@
 	return max(1, int(float64(s.MaxInFlight)*allowed))
 }
 
-// gain is what a try at a time is expected to bring: the worth if it comes to its end, less the price if it does not.
+// expectedGain returns the expected value of a try at a time, which is the worth if the try completes less the cost if it
+// fails, and the probability that it completes.
 func (s Settings) expectedGain(j Job, site Site, at int64) (gain, chance float64) {
 	p, _ := site.UpProbability(at)
 	p *= site.StayUpProbability(at, j.ExpectedDuration)
 	return p*j.Worth - (1-p)*s.FailedTryCost*math.Max(j.Worth, 1e-9), p
 }
 
-// Plan tells what to do with each job now. Jobs that are out count towards the room of their sites.
+// Plan returns what to do now with each job that is not in flight. Jobs in flight count towards the limit of their sites.
 func (s Settings) Plan(now int64, jobs []Job, site func(name string) Site) []Decision {
 	var decisions []Decision
 	inFlight := map[string]int{}
@@ -108,7 +110,7 @@
 			ready = append(ready, j)
 		}
 	}
-	// What would be lost first goes first; of two with the same time, the one that is worth more.
+	// The job with the earliest latest start goes first; of two with the same one, the one that is worth more.
 	slices.SortFunc(ready, func(a, b Job) int {
 		return cmp.Or(cmp.Compare(a.Latest-a.ExpectedDuration.Milliseconds(), b.Latest-b.ExpectedDuration.Milliseconds()), cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.ID, b.ID))
 	})
@@ -127,17 +129,17 @@
 	return decisions
 }
 
-// judge weighs a try now against the best time that is left.
+// decide compares a try now with the best later time.
 func (s Settings) decide(now int64, j Job, site Site) Decision {
 	latestStart := j.Latest - j.ExpectedDuration.Milliseconds()
 	up, _, seen := site.LastObservation()
-	if j.LastTriedMs >= seen { // nothing has been seen of the site since that try; a failed one says that it is down
+	if j.LastTriedMs >= seen { // the site has not been observed since that try; if the try failed, the site counts as down
 		up = false
 	}
 	gainNow, chance := s.expectedGain(j, site, now)
 	_, known := site.UpProbability(now)
 	if !known {
-		// Nothing is known: as it was seen last, and otherwise again and again with growing pauses.
+		// Without evidence: try if the site was last observed up, otherwise retry with exponential backoff.
 		if up || j.FailedTries == 0 || now >= j.LastTriedMs+s.retryDelayMs(j) {
 			return Decision{Job: j.ID, Verdict: Try}
 		}
@@ -153,8 +155,8 @@
 			bestGain, bestAt = gain, at
 		}
 	}
-	// A try that fails is not the end: the later times are still there. So it costs its price, no more, and is worth it
-	// where its chance makes up for that; a little is added for what may come between.
+	// The later times remain available after a failed try, so that it costs no more than its cost and is worth making if its
+	// probability makes up for that. guessMargin allows for what may happen in between.
 	later := math.Max(0, bestGain)
 	tryNow := chance*j.Worth + (1-chance)*(later-s.FailedTryCost*j.Worth)
 	switch {
@@ -165,7 +167,7 @@
 	case !up && gainNow > 0 && tryNow > later*(1+guessMargin) && now >= j.LastTriedMs+s.retryDelayMs(j):
 		return Decision{Job: j.ID, Verdict: Try}
 	case !up && latestStart-now <= s.PlanInterval.Milliseconds() && chance > s.FailedTryCost:
-		return Decision{Job: j.ID, Verdict: Try} // the last chance there is
+		return Decision{Job: j.ID, Verdict: Try} // the last opportunity
 	}
 	if bestAt <= now {
 		bestAt = now + s.PlanInterval.Milliseconds()
@@ -174,12 +176,12 @@
 }
 
 const (
-	confidentProbability = 0.9  // a site that is up, and likely to stay so for the work, is not waited for
-	guessMargin          = 0.02 // by which a try has to be better than to wait, where it would be a guess
+	confidentProbability = 0.9  // at this probability of completing, a job is not held back at a site that is up
+	guessMargin          = 0.02 // relative margin by which a try has to exceed waiting if the site was not last observed up
 )
 
-// pause is what is waited after a try that failed, where nothing else tells: doubled each time, up to a quarter of what
-// the job has.
+// retryDelayMs returns the time to wait after a failed try if there is nothing else to go by. It doubles with each failure, up
+// to a quarter of the job's time window.
 func (s Settings) retryDelayMs(j Job) int64 {
 	if j.FailedTries == 0 {
 		return 0
