--- a/internal/decide/contact/contact.go
+++ b/internal/decide/contact/contact.go
@@ -203,7 +203,8 @@
 // isValid reports whether all numbers are within their possible ranges.
 func (s *Site) isValid() bool {
 	isValidNumber := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
-	valid := s.State >= Unknown && s.State <= Down && s.Seen >= s.Since && isValidNumber(s.OutagesOccurred) && isValidNumber(s.OutagesPlanned) && s.OutagesOccurred <= s.OutagesPlanned
+	valid := s.State >= Unknown && s.State <= Down && s.Seen >= s.Since &&
+		isValidNumber(s.OutagesOccurred) && isValidNumber(s.OutagesPlanned) && s.OutagesOccurred <= s.OutagesPlanned
 	for i := range s.Durations {
 		for b := range ageBins {
 			valid = valid && isValidNumber(s.Durations[i].Exposure[b]) && isValidNumber(s.Durations[i].Ends[b])
@@ -505,13 +506,13 @@
 		}
 	}
 	states := map[string]State{}
-	for site, n := range reached {
-		if n >= unreached[site] {
+	for site, count := range reached {
+		if count >= unreached[site] {
 			states[site] = Up
 		}
 	}
-	for site, n := range unreached {
-		if n > reached[site] {
+	for site, count := range unreached {
+		if count > reached[site] {
 			states[site] = Down
 		}
 	}
--- a/internal/decide/ruleset/ruleset.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -268,7 +268,8 @@
 		if c.Name == "" || c.Dispatch == nil || c.Dispatch.Site == "" || c.Dispatch.Class == "" || c.Dispatch.Target == "" {
 			return invalid("expected a name, and work with site, class and target")
 		}
-		if w := c.Dispatch; w.Latest <= w.Earliest || !(w.Worth >= 0) || math.IsInf(w.Worth, 0) || !(w.ExpectedDurationMs >= 0) || math.IsInf(w.ExpectedDurationMs, 0) {
+		if w := c.Dispatch; w.Latest <= w.Earliest || !(w.Worth >= 0) || math.IsInf(w.Worth, 0) ||
+			!(w.ExpectedDurationMs >= 0) || math.IsInf(w.ExpectedDurationMs, 0) {
 			return invalid("expected a latest time after the earliest, and a worth and a time from 0")
 		}
 	default:
@@ -336,8 +337,8 @@
 func (r *Rules) apply(c Change, provenance Provenance, forced bool) {
 	switch c.Kind {
 	case KindCordon:
-		setEntry(&r.Cordons, c.Cordon.ID(), cordon.Cordon{Target: *c.Cordon, Author: provenance.Author, Reason: provenance.Reason, Since: provenance.Since, DurationMs: c.DurationMs,
-			Forced: forced, Automatic: c.Automatic})
+		setEntry(&r.Cordons, c.Cordon.ID(), cordon.Cordon{Target: *c.Cordon, Author: provenance.Author, Reason: provenance.Reason,
+			Since: provenance.Since, DurationMs: c.DurationMs, Forced: forced, Automatic: c.Automatic})
 		delete(r.Lifted, c.Cordon.Host)
 	case KindLift:
 		if o, ok := r.Cordons[c.Name]; ok {
@@ -454,7 +455,8 @@
 	case request.BaseVersion != head.Version:
 		return refuse(RefusedStale, fmt.Sprintf("it rests on version %d, the present one is %d", request.BaseVersion, head.Version))
 	}
-	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash, Provenance: Provenance{Author: request.Author, Reason: request.Reason, Since: now}},
+	step := Step{Head: Head{Version: head.Version + 1, PreviousHash: head.Hash,
+		Provenance: Provenance{Author: request.Author, Reason: request.Reason, Since: now}},
 		Changes: request.Changes, Forced: request.Forced}
 	// Each change is checked against the rules as the earlier changes of the same request leave them.
 	next := b.Document.draftNext(step.Head)
--- a/internal/decide/schedule/schedule.go
+++ b/internal/decide/schedule/schedule.go
@@ -45,7 +45,7 @@
 // Site gives the forecasts and observations of a site that a plan needs.
 type Site interface {
 	// UpProbability returns the probability that the site is reachable at a time, and whether it rests on evidence.
-	UpProbability(at int64) (p float64, known bool)
+	UpProbability(at int64) (probability float64, hasEvidence bool)
 	// StayUpProbability returns the probability that the site, reachable at a time, stays so for d.
 	StayUpProbability(at int64, d time.Duration) float64
 	// LastObservation returns whether the site was up when last observed, since when it has been in that state, and when it
@@ -112,7 +112,8 @@
 	}
 	// The job with the earliest latest start goes first; of two with the same one, the one that is worth more.
 	slices.SortFunc(ready, func(a, b Job) int {
-		return cmp.Or(cmp.Compare(a.Latest-a.ExpectedDuration.Milliseconds(), b.Latest-b.ExpectedDuration.Milliseconds()), cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Latest-a.ExpectedDuration.Milliseconds(), b.Latest-b.ExpectedDuration.Milliseconds()),
+			cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.ID, b.ID))
 	})
 	for _, j := range ready {
 		x := site(j.Site)
@@ -137,8 +138,8 @@
 		up = false
 	}
 	gainNow, chance := s.expectedGain(j, site, now)
-	_, known := site.UpProbability(now)
-	if !known {
+	_, hasEvidence := site.UpProbability(now)
+	if !hasEvidence {
 		// Without evidence: try if the site was last observed up, otherwise retry with exponential backoff.
 		if up || j.FailedTries == 0 || now >= j.LastTriedMs+s.retryDelayMs(j) {
 			return Decision{Job: j.ID, Verdict: Try}
