--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,14 +35,14 @@
 	Settings                logic.Settings
 	Limits                  Limits
 
-	path   string
-	env    func(string) string
-	file   addresses         // as the file names them, whatever the environment says
-	others map[string]string // the file's other fields that hold for good, as text
+	path          string
+	env           func(string) string
+	fileAddresses addresses         // as the file names them, whatever the environment says
+	fixedFields   map[string]string // the file's other fields that hold for good, as text
 }
 
 // kept are the fields that hold from the start to the end; the rest is addresses, and the state at the start.
-var kept = []string{"name", "listen", "seed", "limits", "peer_listen", "peers", "peers_all", "settings"}
+var fixedFieldNames = []string{"name", "listen", "seed", "limits", "peer_listen", "peers", "peers_all", "settings"}
 
 // addresses are what a new configuration may change.
 type addresses struct{ discovery, platform string }
@@ -71,24 +71,24 @@
 // another than it did; ignored tells which other fields differ. Danger: half a file, or one for another router,
 // would cut this one off from both; a file that is wrong in any part changes nothing.
 func (c Config) Reload() (next Config, ignored []string, err error) {
-	read, err := Load(c.path, c.env)
+	loaded, err := Load(c.path, c.env)
 	if err != nil {
 		return c, nil, err
 	}
 	next = c
-	next.file, next.others = read.file, read.others
+	next.fileAddresses, next.fixedFields = loaded.fileAddresses, loaded.fixedFields
 	switch {
-	case read.file.platform == "" && c.Platform != "" || read.file.platform != "" && c.Platform == "":
+	case loaded.fileAddresses.platform == "" && c.Platform != "" || loaded.fileAddresses.platform != "" && c.Platform == "":
 		return c, nil, fmt.Errorf("configuration %s: pipeline.address can't come or go", c.path)
-	case read.file.discovery == "" && c.file.discovery != "":
+	case loaded.fileAddresses.discovery == "" && c.fileAddresses.discovery != "":
 		return c, nil, fmt.Errorf("configuration %s: discovery is missing", c.path)
 	}
-	if read.file.discovery != c.file.discovery { // else the environment's still holds
-		next.Discovery = read.file.discovery
+	if loaded.fileAddresses.discovery != c.fileAddresses.discovery { // else the environment's still holds
+		next.Discovery = loaded.fileAddresses.discovery
 	}
-	next.Platform = read.file.platform
-	for _, name := range kept {
-		if read.others[name] != c.others[name] {
+	next.Platform = loaded.fileAddresses.platform
+	for _, name := range fixedFieldNames {
+		if loaded.fixedFields[name] != c.fixedFields[name] {
 			ignored = append(ignored, name)
 		}
 	}
@@ -104,31 +104,31 @@
 	if v.Type() != fastjson.TypeObject {
 		return Config{}, fmt.Errorf("a JSON %s, not an object", v.Type())
 	}
-	text := func(name string, path ...string) string {
+	stringField := func(name string, path ...string) string {
 		if name != "" && env(name) != "" {
 			return env(name)
 		}
 		return string(v.GetStringBytes(path...))
 	}
-	c := Config{Name: text(envName, "name"), Listen: text(envListen, "listen"),
-		Discovery: text(envDiscovery, "discovery"), PeerListen: text("", "peer_listen"),
-		PeersAll: text("", "peers_all"), Platform: text("", "pipeline", "address"),
-		InitialRelease: v.Get("pipeline", "news"), InitialHosts: v.Get("known"), Seed: seed(text("", "seed"))}
-	c.file = addresses{text("", "discovery"), c.Platform}
-	c.others = map[string]string{}
-	for _, name := range kept {
+	c := Config{Name: stringField(envName, "name"), Listen: stringField(envListen, "listen"),
+		Discovery: stringField(envDiscovery, "discovery"), PeerListen: stringField("", "peer_listen"),
+		PeersAll: stringField("", "peers_all"), Platform: stringField("", "pipeline", "address"),
+		InitialRelease: v.Get("pipeline", "news"), InitialHosts: v.Get("known"), Seed: parseSeed(stringField("", "seed"))}
+	c.fileAddresses = addresses{stringField("", "discovery"), c.Platform}
+	c.fixedFields = map[string]string{}
+	for _, name := range fixedFieldNames {
 		if field := v.Get(name); field != nil {
-			c.others[name] = string(field.MarshalTo(nil))
+			c.fixedFields[name] = string(field.MarshalTo(nil))
 		}
 	}
 	for _, p := range v.GetArray("peers") {
 		c.Peers = append(c.Peers, string(p.GetStringBytes()))
 	}
-	own := v.Get("settings")
-	if own == nil || own.Type() != fastjson.TypeObject {
+	settingsValue := v.Get("settings")
+	if settingsValue == nil || settingsValue.Type() != fastjson.TypeObject {
 		return Config{}, errors.New("no object settings")
 	}
-	if c.Settings, err = settings.Decode(own); err != nil {
+	if c.Settings, err = settings.Decode(settingsValue); err != nil {
 		return Config{}, err
 	}
 	if len(c.Settings.Classes) == 0 {
@@ -139,7 +139,7 @@
 	}
 	c.Limits, err = NewLimits(Resources{Cores: v.GetFloat64("limits", "cores"),
 		MemoryMB: v.GetInt("limits", "memory_mb"), Sockets: v.GetInt("limits", "sockets"),
-		DialTimeout: settings.DialTimeout(own)}, c.Settings)
+		DialTimeout: settings.DialTimeout(settingsValue)}, c.Settings)
 	if c.Settings.MaxOpen <= 0 || c.Settings.MaxOpen > c.Limits.MaxOpen { // the module decides what is let go
 		c.Settings.MaxOpen = c.Limits.MaxOpen
 	}
@@ -162,7 +162,7 @@
 		return nil
 	}
 	errs := []error{check("listen ("+envListen+")", c.Listen, true),
-		check("discovery ("+envDiscovery+")", c.Discovery, true), check("discovery", c.file.discovery, false),
+		check("discovery ("+envDiscovery+")", c.Discovery, true), check("discovery", c.fileAddresses.discovery, false),
 		check("pipeline.address", c.Platform, false), check("peer_listen", c.PeerListen, false),
 		check("peers_all", c.PeersAll, false)}
 	for i, p := range c.Peers {
@@ -177,7 +177,7 @@
 }
 
 // seed reads a seed in hex; any other text is hashed.
-func seed(text string) uint64 {
+func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -72,44 +72,44 @@
 }
 
 const (
-	mebibyte     = 1 << 20
-	reserved     = 24        // descriptors: standard streams, poller, listeners, discovery, platform, spare
-	requestBytes = 192 << 10 // a body, an answer, buffers and stacks of a request at the most
-	leastMemory  = 24
-	leastSockets = 40
+	mebibyte            = 1 << 20
+	reservedDescriptors = 24        // descriptors: standard streams, poller, listeners, discovery, platform, spare
+	maxRequestMemory    = 192 << 10 // a body, an answer, buffers and stacks of a request at the most
+	minMemoryMB         = 24
+	minSockets          = 40
 )
 
 // NewLimits derives the limits.
-func NewLimits(told Resources, s logic.Settings) (Limits, error) {
-	if told.Cores <= 0 || told.MemoryMB < leastMemory || told.Sockets < leastSockets {
+func NewLimits(resources Resources, s logic.Settings) (Limits, error) {
+	if resources.Cores <= 0 || resources.MemoryMB < minMemoryMB || resources.Sockets < minSockets {
 		return Limits{}, fmt.Errorf("limits: cores %g, memory_mb %d, sockets %d: needs more than 0, %d and %d",
-			told.Cores, told.MemoryMB, told.Sockets, leastMemory, leastSockets)
+			resources.Cores, resources.MemoryMB, resources.Sockets, minMemoryMB, minSockets)
 	}
-	longest := time.Duration(0)
+	longestDeadline := time.Duration(0)
 	for _, c := range s.Classes {
-		longest = max(longest, c.Deadline)
+		longestDeadline = max(longestDeadline, c.Deadline)
 	}
-	free := told.Sockets - reserved
+	descriptors := resources.Sockets - reservedDescriptors
 	l := Limits{
-		Cores: max(1, int(told.Cores)), MemoryBytes: int64(told.MemoryMB) * mebibyte * 7 / 10, GCPercent: 400,
-		MaxBody: 64 << 10, MaxAnswer: min(2*mebibyte, told.MemoryMB*mebibyte/16), LongAnswerBudget: told.MemoryMB * mebibyte / 4,
+		Cores: max(1, int(resources.Cores)), MemoryBytes: int64(resources.MemoryMB) * mebibyte * 7 / 10, GCPercent: 400,
+		MaxBody: 64 << 10, MaxAnswer: min(2*mebibyte, resources.MemoryMB*mebibyte/16), LongAnswerBudget: resources.MemoryMB * mebibyte / 4,
 		MaxHead: 16 << 10, MaxPlatformLine: 8 << 10, MaxDiscoveryLine: 8 << 20, MaxDatagram: 256,
 		MaxIDLength: 256, MaxEvents: 4096, MaxOutgoing: 256,
-		MaxHeld:     told.MemoryMB * mebibyte * 3 / 5 / requestBytes,
-		ServerConns: free / 5, ClientConns: free - free/5,
-		RetryAfter: s.MaxRetryAfter, EvictIdleAfter: 10 * time.Millisecond, MaxWait: 10 * max(longest, time.Second),
+		MaxHeld:     resources.MemoryMB * mebibyte * 3 / 5 / maxRequestMemory,
+		ServerConns: descriptors / 5, ClientConns: descriptors - descriptors/5,
+		RetryAfter: s.MaxRetryAfter, EvictIdleAfter: 10 * time.Millisecond, MaxWait: 10 * max(longestDeadline, time.Second),
 		DecisionMargin: 140 * time.Millisecond, OwnAnswerMargin: 110 * time.Millisecond,
 		RequestReadTimeout: 2200 * time.Millisecond, ClientIdleTimeout: 2200 * time.Millisecond, EvictSilentAfter: 250 * time.Millisecond,
-		WriteStallTimeout: 10 * max(longest, time.Second),
-		DialTimeout:       told.DialTimeout, ProbeTimeout: told.DialTimeout, ServerIdleTimeout: s.ConnIdle * 9 / 10,
+		WriteStallTimeout: 10 * max(longestDeadline, time.Second),
+		DialTimeout:       resources.DialTimeout, ProbeTimeout: resources.DialTimeout, ServerIdleTimeout: s.ConnIdle * 9 / 10,
 		ServerReuseDelay: 20 * time.Millisecond, MinServerReuseDelay: 2 * time.Millisecond, AnswerReadTimeout: 400 * time.Millisecond,
 		SendGrace:          s.DrainGrace * 7 / 10,
 		ControlDialTimeout: time.Second, DiscoverySilenceTimeout: 5 * time.Second, PlatformSilenceTimeout: 3500 * time.Millisecond,
 		VoteTimeout:        s.Rollout.VoteTimeout,
 		AddressChangeGrace: 1500 * time.Millisecond,
 		DrainDelay:         450 * time.Millisecond, DrainCloseUntil: 600 * time.Millisecond,
-		DrainTimeout:       max(longest, 3*time.Second) + 50*time.Millisecond,
-		KillAfter:          min(longest, 3*time.Second) + 700*time.Millisecond,
+		DrainTimeout:       max(longestDeadline, 3*time.Second) + 50*time.Millisecond,
+		KillAfter:          min(longestDeadline, 3*time.Second) + 700*time.Millisecond,
 		HangupPollInterval: 50 * time.Millisecond, Linger: 500 * time.Millisecond, LingerBytes: 256 << 10, BacklogQuietTime: 5 * time.Millisecond,
 	}
 	l.ClosesPerAcceptWait = 8
@@ -132,6 +132,6 @@
 
 // Margins gives AnswerMargin and LastMargin for a client that waits so long: a small part of a short wait.
 // Danger: on a busy machine an answer takes its time from the loop to the client, and must not come late.
-func (l Limits) Margins(wait time.Duration) (answer, last time.Duration) {
+func (l Limits) Margins(wait time.Duration) (decision, ownAnswer time.Duration) {
 	return min(l.DecisionMargin, wait/5), min(l.OwnAnswerMargin, wait/7)
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -58,7 +58,7 @@
 	module  Module
 	effects Effects[T]
 	calls   map[logic.RequestID]*Call[T]
-	serial  uint64
+	lastID  uint64
 }
 
 // New makes a driver round a module.
@@ -72,15 +72,15 @@
 // Feed gives the module one event and carries out what it asks.
 func (d *Driver[T]) Feed(now time.Duration, e logic.Event) {
 	for _, a := range d.module.Handle(now, e) {
-		d.act(now, a)
+		d.perform(now, a)
 	}
 }
 
 // Arrive hands over a request under a name of the driver's own, which replaces e.ID. Danger: a client's id may
 // come twice, even while the first is out.
-func (d *Driver[T]) Submit(now time.Duration, of T, e logic.RequestArrived) *Call[T] {
-	d.serial++
-	c := &Call[T]{ID: logic.RequestID(strconv.FormatUint(d.serial, 36)), Request: of}
+func (d *Driver[T]) Submit(now time.Duration, request T, e logic.RequestArrived) *Call[T] {
+	d.lastID++
+	c := &Call[T]{ID: logic.RequestID(strconv.FormatUint(d.lastID, 36)), Request: request}
 	d.calls[c.ID] = c
 	e.ID = c.ID
 	d.Feed(now, e)
@@ -89,7 +89,7 @@
 
 // Leave tells that a request has ended without the module's doing. It returns false where an attempt is still
 // out, whose end may bring an answer for a client that has only stopped sending.
-func (d *Driver[T]) Abandon(now time.Duration, c *Call[T]) (over bool) {
+func (d *Driver[T]) Abandon(now time.Duration, c *Call[T]) (done bool) {
 	if d.calls[c.ID] != c {
 		return true
 	}
@@ -122,15 +122,15 @@
 
 // Settled gives the module the end of an attempt; over tells that the request has ended with it. The client has
 // its answer by then: it does not wait for what the module does next.
-func (d *Driver[T]) ReportOutcome(now time.Duration, c *Call[T], e AttemptResult, over bool) {
+func (d *Driver[T]) ReportOutcome(now time.Duration, c *Call[T], e AttemptResult, requestOver bool) {
 	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Took: e.EndedAt - c.SentAt, Server: c.Server,
-		Attempt: c.attempts - 1, Final: over, Begun: e.AnswerBegun, Load: e.Load})
-	if over {
+		Attempt: c.attempts - 1, Final: requestOver, Begun: e.AnswerBegun, Load: e.Load})
+	if requestOver {
 		delete(d.calls, c.ID)
 	}
 }
 
-func (d *Driver[T]) act(now time.Duration, a logic.Action) {
+func (d *Driver[T]) perform(now time.Duration, a logic.Action) {
 	switch a := a.(type) {
 	case logic.Send:
 		c := d.calls[a.ID]
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -63,7 +63,7 @@
 }
 
 // check finds what is wrong; the path is of the field.
-func (a Accord) check() (path, text string) {
+func (a Accord) check() (key, text string) {
 	if !a.Enabled() {
 		if len(a.Registrars) > 0 {
 			return "cluster", "expected a name"
@@ -137,8 +137,8 @@
 	case l.OnFailure != "refuse" && l.OnFailure != "serve":
 		return f, &template.Error{File: path, Path: "ledger.on_failure", Text: "expected refuse or serve, got " + l.OnFailure}
 	}
-	if at, text := f.Accord.check(); text != "" {
-		return f, &template.Error{File: path, Path: strings.TrimSuffix("accord."+at, "."), Text: text}
+	if key, text := f.Accord.check(); text != "" {
+		return f, &template.Error{File: path, Path: strings.TrimSuffix("accord."+key, "."), Text: text}
 	}
 	return f, nil
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -18,18 +18,18 @@
 	clock    Clock
 	coldTime time.Duration
 
-	mu    sync.Mutex
-	hosts map[logic.ServerID]Host
-	heard map[logic.ServerID]cordon.Report // since the last Reports
-	sites map[string]contact.Evidence      // since the last Met
+	mu           sync.Mutex
+	hosts        map[logic.ServerID]Host
+	reports      map[logic.ServerID]cordon.Report // since the last Reports
+	siteEvidence map[string]contact.Evidence      // since the last Met
 }
 
 func newFleet(clock Clock, coldTime time.Duration) *Fleet {
-	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, heard: map[logic.ServerID]cordon.Report{}, sites: map[string]contact.Evidence{}}
+	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Report{}, siteEvidence: map[string]contact.Evidence{}}
 }
 
 // set takes the list as it stands now.
-func (f *Fleet) set(hosts map[logic.ServerID]Host) {
+func (f *Fleet) setHosts(hosts map[logic.ServerID]Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.hosts)
@@ -39,7 +39,7 @@
 }
 
 // noted counts what came of an attempt: for its site, whether anything came at all, and for the server, its answers.
-func (f *Fleet) noted(id logic.ServerID, result Result) {
+func (f *Fleet) recordResult(id logic.ServerID, result Result) {
 	o := result.Outcome
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,7 +47,7 @@
 	if !ok {
 		return
 	}
-	e := f.sites[h.Zone]
+	e := f.siteEvidence[h.Zone]
 	e.Site = h.Zone
 	switch {
 	case o == logic.OK || o == logic.ServerError || o == logic.Rejected || result.ConnRefused:
@@ -55,17 +55,17 @@
 	case o == logic.TimedOut || o == logic.ConnectFailed:
 		e.Silent++
 	}
-	f.sites[h.Zone] = e
+	f.siteEvidence[h.Zone] = e
 	if o != logic.OK && o != logic.ServerError {
 		return
 	}
-	r := f.heard[id]
+	r := f.reports[id]
 	r.Host = h.Name
 	r.Answered++
 	if o == logic.ServerError {
 		r.Erred++
 	}
-	f.heard[id] = r
+	f.reports[id] = r
 }
 
 // Listed is the list, with a sum over it.
@@ -88,10 +88,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []contact.Evidence{}
-	for _, e := range f.sites {
+	for _, e := range f.siteEvidence {
 		out = append(out, e)
 	}
-	clear(f.sites)
+	clear(f.siteEvidence)
 	slices.SortFunc(out, func(a, b contact.Evidence) int { return cmp.Compare(a.Site, b.Site) })
 	return out
 }
@@ -101,10 +101,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []cordon.Report{}
-	for _, r := range f.heard {
+	for _, r := range f.reports {
 		out = append(out, r)
 	}
-	clear(f.heard)
+	clear(f.reports)
 	slices.SortFunc(out, func(a, b cordon.Report) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -111,25 +111,25 @@
 
 // event is one that waits for the loop.
 type event struct {
-	what any
-	at   time.Time // when it was posted
+	payload  any
+	postedAt time.Time // when it was posted
 }
 
 // Events of the node itself.
 type (
-	arrived   struct{ ex *exchange.Exchange }
-	left      struct{ ex *exchange.Exchange }
-	attempted struct {
+	requestArrived   struct{ ex *exchange.Exchange }
+	requestAbandoned struct{ ex *exchange.Exchange }
+	attemptEnded     struct {
 		id      logic.RequestID
 		attempt int
 		result  Result
 	}
-	probed struct {
+	probeEnded struct {
 		server logic.ServerID
 		sentAt time.Time
 		result Result
 	}
-	listed struct {
+	serversUpdated struct {
 		event logic.ServersListed
 		hosts []Host
 	}
@@ -137,23 +137,23 @@
 
 // Gateway is the loop round the module.
 type Gateway struct {
-	limits config.Limits
-	parts  Outputs
-	clock  Clock
-	count  *metrics.Registry
-	log    *zap.Logger
-
-	events chan event
-	done   chan struct{}
-	timers timers
-	driver *driver.Driver[*request]
-	calls  map[*exchange.Exchange]*call
-	last   logic.ReleaseStatus // as handed to the module
-	listed bool                // servers are known
-	told   bool                // the newest build's state is known
-	ready  atomic.Bool
-	rules  *rules // nil: no accord
-	router *logic.Router
+	limits  config.Limits
+	outputs Outputs
+	clock   Clock
+	count   *metrics.Registry
+	log     *zap.Logger
+
+	events       chan event
+	done         chan struct{}
+	timers       timers
+	driver       *driver.Driver[*request]
+	calls        map[*exchange.Exchange]*call
+	lastRelease  logic.ReleaseStatus // as handed to the module
+	serversKnown bool                // servers are known
+	releaseKnown bool                // the newest build's state is known
+	ready        atomic.Bool
+	rules        *rules // nil: no accord
+	router       *logic.Router
 }
 
 // New makes a gateway round a router; Run starts it.
@@ -183,12 +183,12 @@
 }
 
 // Submit hands a request to the module, which will finish the exchange.
-func (g *Gateway) Submit(ex *exchange.Exchange) error { return g.post(arrived{ex}) }
+func (g *Gateway) Submit(ex *exchange.Exchange) error { return g.post(requestArrived{ex}) }
 
 // Left tells that a request's client has gone, or that the node has answered it by itself.
 func (g *Gateway) Abandon(ex *exchange.Exchange) {
 	ex.Abandon() // an attempt that is being made sees it at once, whether or not the settings let it be given up
-	g.notify(left{ex})
+	g.notify(requestAbandoned{ex})
 }
 
 // Ready tells that the module knows servers and the newest build's state: before that it can send nothing.
@@ -200,7 +200,7 @@
 	for _, h := range hosts {
 		e.Servers = append(e.Servers, h.Server)
 	}
-	g.notify(listed{e, hosts})
+	g.notify(serversUpdated{e, hosts})
 }
 
 // ListingFailed tells that the watch of discovery broke.
@@ -220,24 +220,24 @@
 }
 
 // Run owns the module until ctx ends. Parts must be complete by then.
-func (g *Gateway) Run(ctx context.Context, parts Outputs) {
+func (g *Gateway) Run(ctx context.Context, outputs Outputs) {
 	defer close(g.done)
-	g.parts = parts
+	g.outputs = outputs
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
-	armed := time.Duration(0)
+	armedFor := time.Duration(0)
 	for {
-		g.fire()
-		if at := g.timers.next(); at != armed {
-			armed = at
+		g.fireTimers()
+		if at := g.timers.nextDue(); at != armedFor {
+			armedFor = at
 			wake.Reset(at - g.clock.Now())
 		}
 		select {
 		case e := <-g.events:
-			g.count.Worst("loop.worst_wait_us", time.Since(e.at))
-			g.take(e.what)
+			g.count.Worst("loop.worst_wait_us", time.Since(e.postedAt))
+			g.handle(e.payload)
 		case <-wake.C:
-			armed = 0
+			armedFor = 0
 		case <-ctx.Done():
 			return
 		}
@@ -247,10 +247,10 @@
 // fire hands due timers to the module, before any event that waits. Danger: a tick over 0.1 s late passes
 // for a stall of the router, and its evidence is dropped; so nothing here dials, writes, parses or logs at
 // length, and the worst lateness is counted.
-func (g *Gateway) fire() {
+func (g *Gateway) fireTimers() {
 	for {
 		now := g.clock.Now()
-		t, ok := g.timers.due(now)
+		t, ok := g.timers.popDue(now)
 		if !ok {
 			return
 		}
@@ -266,31 +266,31 @@
 func (g *Gateway) feed(e logic.Event) { g.driver.Feed(g.clock.Now(), e) }
 
 // take translates one event of the node into the module's.
-func (g *Gateway) take(e any) {
+func (g *Gateway) handle(e any) {
 	switch e := e.(type) {
-	case arrived:
-		g.arrive(e.ex)
-	case left:
-		g.leave(e.ex)
-	case attempted:
-		g.outcome(e)
-	case probed:
+	case requestArrived:
+		g.startRequest(e.ex)
+	case requestAbandoned:
+		g.abandonRequest(e.ex)
+	case attemptEnded:
+		g.endAttempt(e)
+	case probeEnded:
 		g.feed(logic.ProbeDone{Server: e.server, Outcome: e.result.Outcome, Took: e.result.EndedAt.Sub(e.sentAt),
 			Load: e.result.Load})
-	case listed:
-		g.list(e)
-	case ruled:
-		g.rule(e)
-		close(e.heard)
+	case serversUpdated:
+		g.applyServers(e)
+	case rulesUpdated:
+		g.applyRules(e)
+		close(e.applied)
 	case logic.ReleaseStatus:
-		g.release(e)
+		g.applyRelease(e)
 	default:
 		g.feed(e)
 	}
 }
 
 // arrive hands a request to the module.
-func (g *Gateway) arrive(ex *exchange.Exchange) {
+func (g *Gateway) startRequest(ex *exchange.Exchange) {
 	f := ex.Fields
 	c := g.driver.Submit(g.clock.Now(), &request{ex: ex}, logic.RequestArrived{Class: f.Class, Tenant: f.Tenant,
 		Key: f.Key, HasKey: f.HasKey, Left: max(0, time.Until(ex.Deadline)), Hint: f.ExpectedWork, Retry: f.IsRetry, Zone: f.RequiredZone})
@@ -301,7 +301,7 @@
 
 // leave tells the module that a request has ended without its doing. An attempt that is out may still bring
 // an answer for a client that has only stopped sending; where none is, such a client is told at once.
-func (g *Gateway) leave(ex *exchange.Exchange) {
+func (g *Gateway) abandonRequest(ex *exchange.Exchange) {
 	c := g.calls[ex]
 	if c == nil {
 		return
@@ -313,7 +313,7 @@
 }
 
 // outcome gives the module the end of an attempt. An answer is the client's at once.
-func (g *Gateway) outcome(e attempted) {
+func (g *Gateway) endAttempt(e attemptEnded) {
 	c := g.driver.EndAttempt(e.id, e.attempt)
 	if c == nil {
 		exchange.Answer{FreeBody: e.result.FreeBody}.Release()
@@ -323,9 +323,9 @@
 	ex := c.Request.ex
 	c.Request.cancel = nil
 	g.count.Inc("attempts." + outcomeName(e.result.Outcome))
-	over := e.result.Outcome == logic.OK || e.result.NoLease || c.Finished() || ex.Ended()
+	requestOver := e.result.Outcome == logic.OK || e.result.NoLease || c.Finished() || ex.Ended()
 	if g.rules != nil {
-		g.rules.fleet.noted(c.Server, e.result)
+		g.rules.fleet.recordResult(c.Server, e.result)
 	}
 	switch {
 	case e.result.NoLease && e.attempt == 0: // nothing has been sent for it
@@ -334,28 +334,28 @@
 		if a := (exchange.Answer{Status: exchange.Served, Body: e.result.Body, FreeBody: e.result.FreeBody, Attempts: e.attempt + 1}); !ex.Finish(a) {
 			a.Release()
 		}
-	case over:
+	case requestOver:
 		ex.Finish(exchange.Answer{Status: exchange.Failed, Attempts: e.attempt + 1})
 	}
-	if over {
+	if requestOver {
 		delete(g.calls, ex)
 	}
 	g.driver.ReportOutcome(g.clock.Now(), c, driver.AttemptResult{Outcome: e.result.Outcome, EndedAt: g.clock.At(e.result.EndedAt), AnswerBegun: e.result.AnswerBegun,
-		Load: e.result.Load}, over)
+		Load: e.result.Load}, requestOver)
 }
 
 // release passes on the platform's news, narrowed by the agreed rules. Sends to a build whose share has fallen must not
 // leave late.
-func (g *Gateway) release(e logic.ReleaseStatus) {
+func (g *Gateway) applyRelease(e logic.ReleaseStatus) {
 	if g.rules != nil {
-		e = g.rules.release(e, g.clock.Now())
+		e = g.rules.applyToRelease(e, g.clock.Now())
 	}
 	if !e.IsReply || e.Reply == logic.VoteCounts {
-		if e.Build == g.last.Build && e.Cap < g.last.Cap {
-			g.parts.Servers.CancelUnsent(e.Build)
+		if e.Build == g.lastRelease.Build && e.Cap < g.lastRelease.Cap {
+			g.outputs.Servers.CancelUnsent(e.Build)
 		}
-		g.last, g.told = e, true
-		g.ready.Store(g.listed)
+		g.lastRelease, g.releaseKnown = e, true
+		g.ready.Store(g.serversKnown)
 	}
 	g.feed(e)
 }
@@ -375,8 +375,8 @@
 		leaveBy = g.clock.Time(c.SendBy)
 	}
 	g.count.Inc("attempts.sent")
-	c.Request.cancel = g.parts.Servers.Start(Attempt{Exchange: c.Request.ex, Server: c.Server, DecidedAt: now, Deadline: deadline, SendBy: leaveBy, ForwardOnly: c.ForwardOnly,
-		Report: func(r Result) { g.notify(attempted{id, n, r}) }})
+	c.Request.cancel = g.outputs.Servers.Start(Attempt{Exchange: c.Request.ex, Server: c.Server, DecidedAt: now, Deadline: deadline, SendBy: leaveBy, ForwardOnly: c.ForwardOnly,
+		Report: func(r Result) { g.notify(attemptEnded{id, n, r}) }})
 }
 
 func (g effects) CancelAttempt(c *call) { c.Request.cancel() }
@@ -395,19 +395,19 @@
 func (g effects) Do(a logic.Action) {
 	switch a := a.(type) {
 	case logic.Close:
-		g.parts.Servers.CloseIdle(a.Server)
+		g.outputs.Servers.CloseIdle(a.Server)
 	case logic.SetTimer:
-		g.timers.set(g.clock.Now()+a.After, a.Token)
+		g.timers.add(g.clock.Now()+a.After, a.Token)
 	case logic.Probe:
 		sentAt := time.Now()
-		g.parts.Servers.Probe(a.Server, func(r Result) { g.notify(probed{a.Server, sentAt, r}) })
+		g.outputs.Servers.Probe(a.Server, func(r Result) { g.notify(probeEnded{a.Server, sentAt, r}) })
 	case logic.Post:
-		g.parts.Peers.Post(a)
+		g.outputs.Peers.Post(a)
 	case logic.Vote:
 		if g.rules != nil {
 			a = g.rules.view.Vote(a, g.rules.conduct)
 		}
-		g.parts.Platform.Vote(a)
+		g.outputs.Platform.Vote(a)
 	case logic.Watch: // the watch of discovery always stands or is being renewed
 	case logic.Log:
 		g.log.Info(a.Text)
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -14,20 +14,20 @@
 // rules is what the loop keeps for the agreed rules: discovery's list and the platform's news as they came, and the view
 // that narrows them. The module hears of a cordon as it hears of a drain.
 type rules struct {
-	view    *ruleset.View
-	conduct lease.Conduct
-	hosts   map[logic.ServerID]Host          // as listed
-	lifted  map[logic.ServerID]time.Duration // when the cordon of this life was lifted: it counts as started then
-	news    *logic.ReleaseStatus             // the platform's latest; nil: none yet
-	newsAt  time.Duration                    // when it came
-	fleet   *Fleet
+	view         *ruleset.View
+	conduct      lease.Conduct
+	hosts        map[logic.ServerID]Host          // as listed
+	liftedAt     map[logic.ServerID]time.Duration // when the cordon of this life was lifted: it counts as started then
+	lastStatus   *logic.ReleaseStatus             // the platform's latest; nil: none yet
+	lastStatusAt time.Duration                    // when it came
+	fleet        *Fleet
 }
 
 // ruled is a version of the rules, or another conduct.
-type ruled struct {
+type rulesUpdated struct {
 	view    *ruleset.View
 	conduct lease.Conduct
-	heard   chan struct{} // closed once the module knows
+	applied chan struct{} // closed once the module knows
 }
 
 // UseRules has the gateway keep to agreed rules; until the first version comes, nothing may be sent. It has to be called
@@ -35,18 +35,18 @@
 func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
 	f := newFleet(g.clock, coldTime)
 	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.Nothing, hosts: map[logic.ServerID]Host{},
-		lifted: map[logic.ServerID]time.Duration{}, fleet: f}
+		liftedAt: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
 }
 
 // Ruled brings a version of the rules, or another conduct, and returns once the module knows of it.
 func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, c lease.Conduct) error {
-	e := ruled{v, c, make(chan struct{})}
+	e := rulesUpdated{v, c, make(chan struct{})}
 	if err := g.post(e); err != nil {
 		return err
 	}
 	select {
-	case <-e.heard:
+	case <-e.applied:
 		return nil
 	case <-g.done:
 		return ErrStopped
@@ -56,89 +56,89 @@
 }
 
 // list takes discovery's news, narrowed by the rules. The pool hears first, so that sends find the addresses.
-func (g *Gateway) list(e listed) {
+func (g *Gateway) applyServers(e serversUpdated) {
 	if r := g.rules; r != nil && !e.event.Failed {
-		r.keep(e)
+		r.storeHosts(e)
 		for i := range e.hosts {
-			e.hosts[i] = r.narrow(e.hosts[i], g.clock)
+			e.hosts[i] = r.applyToHost(e.hosts[i], g.clock)
 			e.event.Servers[i] = e.hosts[i].Server
 		}
 	}
-	g.parts.Servers.UpdateServers(e.event.Full, e.hosts)
+	g.outputs.Servers.UpdateServers(e.event.Full, e.hosts)
 	g.feed(e.event)
-	g.listed = g.listed || len(e.hosts) > 0
-	g.ready.Store(g.listed && g.told)
+	g.serversKnown = g.serversKnown || len(e.hosts) > 0
+	g.ready.Store(g.serversKnown && g.releaseKnown)
 }
 
 // keep notes a list as it came.
-func (r *rules) keep(e listed) {
-	named := map[logic.ServerID]bool{}
+func (r *rules) storeHosts(e serversUpdated) {
+	present := map[logic.ServerID]bool{}
 	for _, h := range e.hosts {
-		named[h.ID] = true
-		if was, ok := r.hosts[h.ID]; ok && (was.StartedUnixMs != h.StartedUnixMs || was.Build != h.Build) {
-			delete(r.lifted, h.ID)
+		present[h.ID] = true
+		if old, ok := r.hosts[h.ID]; ok && (old.StartedUnixMs != h.StartedUnixMs || old.Build != h.Build) {
+			delete(r.liftedAt, h.ID)
 		}
 		if h.State == logic.Gone {
 			delete(r.hosts, h.ID)
-			delete(r.lifted, h.ID)
+			delete(r.liftedAt, h.ID)
 			continue
 		}
 		r.hosts[h.ID] = h
 	}
 	if e.event.Full {
-		maps.DeleteFunc(r.hosts, func(id logic.ServerID, _ Host) bool { return !named[id] })
-		maps.DeleteFunc(r.lifted, func(id logic.ServerID, _ time.Duration) bool { return !named[id] })
+		maps.DeleteFunc(r.hosts, func(id logic.ServerID, _ Host) bool { return !present[id] })
+		maps.DeleteFunc(r.liftedAt, func(id logic.ServerID, _ time.Duration) bool { return !present[id] })
 	}
-	r.fleet.set(r.hosts)
+	r.fleet.setHosts(r.hosts)
 }
 
 // narrow is a listed server as the rules let it be seen. One whose cordon was lifted comes back as one that has just
 // started does, so that all dispatchers together keep to its warm-up.
-func (r *rules) narrow(h Host, clock Clock) Host {
-	if at := clock.FromUnix(float64(r.view.LiftedAt(h.Name))); at > h.Started && at > r.lifted[h.ID] {
-		r.lifted[h.ID] = at
+func (r *rules) applyToHost(h Host, clock Clock) Host {
+	if at := clock.FromUnix(float64(r.view.LiftedAt(h.Name))); at > h.Started && at > r.liftedAt[h.ID] {
+		r.liftedAt[h.ID] = at
 	}
-	h.Started = max(h.Started, r.lifted[h.ID])
+	h.Started = max(h.Started, r.liftedAt[h.ID])
 	h.State = r.view.State(h.Name, h.StartedUnixMs, h.State)
 	return h
 }
 
 // release narrows the platform's news.
-func (r *rules) release(e logic.ReleaseStatus, now time.Duration) logic.ReleaseStatus {
+func (r *rules) applyToRelease(e logic.ReleaseStatus, now time.Duration) logic.ReleaseStatus {
 	if !e.IsReply || e.Reply == logic.VoteCounts {
-		kept := e
-		kept.IsReply = false
-		r.news, r.newsAt = &kept, now
+		status := e
+		status.IsReply = false
+		r.lastStatus, r.lastStatusAt = &status, now
 	}
 	return r.view.Release(e, r.conduct)
 }
 
 // rule takes a version in, or another conduct: what it changes for servers, for the build on trial, for shares and worths
 // reaches the module, and what waits unsent while nothing may be sent is refused at once.
-func (g *Gateway) rule(e ruled) {
+func (g *Gateway) applyRules(e rulesUpdated) {
 	r := g.rules
-	was := maps.Clone(r.hosts)
-	for id, h := range was {
-		was[id] = r.narrow(h, g.clock)
+	before := maps.Clone(r.hosts)
+	for id, h := range before {
+		before[id] = r.applyToHost(h, g.clock)
 	}
 	r.view, r.conduct = e.view, e.conduct
 	var changed []Host
 	event := logic.ServersListed{}
 	for id, h := range r.hosts {
-		if now := r.narrow(h, g.clock); now != was[id] {
+		if now := r.applyToHost(h, g.clock); now != before[id] {
 			changed = append(changed, now)
 			event.Servers = append(event.Servers, now.Server)
 		}
 	}
 	if len(changed) > 0 {
-		g.parts.Servers.UpdateServers(false, changed)
+		g.outputs.Servers.UpdateServers(false, changed)
 		g.feed(event)
 	}
-	if r.news != nil && r.news.Phase == logic.OnTrial {
-		if now := r.view.Release(*r.news, r.conduct); now.Cap != g.last.Cap || now.Build != g.last.Build {
-			again := *r.news
-			again.Age += g.clock.Now() - r.newsAt
-			g.release(again)
+	if r.lastStatus != nil && r.lastStatus.Phase == logic.OnTrial {
+		if now := r.view.Release(*r.lastStatus, r.conduct); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
+			status := *r.lastStatus
+			status.Age += g.clock.Now() - r.lastStatusAt
+			g.applyRelease(status)
 		}
 	}
 	d := r.view.Document.Rules
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -17,8 +17,8 @@
 
 // timers is a queue of timers by time. It implements heap.Interface.
 type timers struct {
-	list []timer
-	sets uint64 // how often one was set
+	list     []timer
+	setCount uint64 // how often one was set
 }
 
 func (t *timers) Len() int { return len(t.list) }
@@ -35,13 +35,13 @@
 }
 
 // set adds a timer.
-func (t *timers) set(at time.Duration, token uint64) {
-	t.sets++
-	heap.Push(t, timer{at, t.sets, token})
+func (t *timers) add(at time.Duration, token uint64) {
+	t.setCount++
+	heap.Push(t, timer{at, t.setCount, token})
 }
 
 // due takes the first timer whose time has come.
-func (t *timers) due(now time.Duration) (timer, bool) {
+func (t *timers) popDue(now time.Duration) (timer, bool) {
 	if len(t.list) == 0 || t.list[0].at > now {
 		return timer{}, false
 	}
@@ -49,7 +49,7 @@
 }
 
 // next is when something is due; far off where nothing is.
-func (t *timers) next() time.Duration {
+func (t *timers) nextDue() time.Duration {
 	if len(t.list) == 0 {
 		return math.MaxInt64
 	}
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -9,7 +9,7 @@
 // Encode gives settings in the form that Decode reads, for JSON.
 func Encode(s logic.Settings) map[string]any {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	named := func(names map[string]logic.Repeatability, r logic.Repeatability) string {
+	nameOf := func(names map[string]logic.Repeatability, r logic.Repeatability) string {
 		for name, v := range names {
 			if v == r {
 				return name
@@ -33,9 +33,9 @@
 	}
 	classes, tenants := []any{}, []any{}
 	for _, c := range s.Classes {
-		entry := map[string]any{"name": c.Name, "repeat": named(repeats, c.Repeat), "window_ms": ms(c.DedupWindow),
+		entry := map[string]any{"name": c.Name, "repeat": nameOf(repeatabilityNames, c.Repeat), "window_ms": ms(c.DedupWindow),
 			"aim_ms": ms(c.Aim), "deadline_ms": ms(c.Deadline), "worth": c.Worth, "late_value": c.LateValue}
-		for name, scope := range scopes {
+		for name, scope := range scopeNames {
 			if scope == c.Scope && c.Repeat == logic.Keyed {
 				entry["group"] = name
 			}
--- a/internal/template/jsonnet/jsonnet.go
+++ b/internal/template/jsonnet/jsonnet.go
@@ -15,8 +15,8 @@
 // maxFile bounds a file's size in bytes; maxStack the depth of its calls. Danger: a file that builds itself
 // without end takes all the memory.
 const (
-	maxFile  = 1 << 20
-	maxStack = 200
+	maxFileBytes  = 1 << 20
+	maxStackDepth = 200
 )
 
 // Text evaluates a file to the text of JSON; imports are resolved beside it. A wrong file is a *template.Error.
@@ -25,13 +25,13 @@
 	if err != nil {
 		return "", &template.Error{File: path, Text: errors.Unwrap(err).Error()}
 	}
-	if info.IsDir() || info.Size() > maxFile {
-		return "", &template.Error{File: path, Text: fmt.Sprintf("expected a file of at most %d bytes", maxFile)}
+	if info.IsDir() || info.Size() > maxFileBytes {
+		return "", &template.Error{File: path, Text: fmt.Sprintf("expected a file of at most %d bytes", maxFileBytes)}
 	}
 	vm := jsonnet.MakeVM()
-	vm.MaxStack = maxStack
+	vm.MaxStack = maxStackDepth
 	text, err := vm.EvaluateFile(path)
-	return text, wrong(path, err)
+	return text, evaluationError(path, err)
 }
 
 // Load evaluates a file to an object.
@@ -45,21 +45,21 @@
 
 // Parse evaluates a text as Load does a file; imports are refused.
 func Parse(name, text string) (map[string]any, error) {
-	if len(text) > maxFile {
-		return nil, &template.Error{File: name, Text: fmt.Sprintf("expected at most %d bytes", maxFile)}
+	if len(text) > maxFileBytes {
+		return nil, &template.Error{File: name, Text: fmt.Sprintf("expected at most %d bytes", maxFileBytes)}
 	}
 	vm := jsonnet.MakeVM()
-	vm.MaxStack = maxStack
+	vm.MaxStack = maxStackDepth
 	vm.Importer(&jsonnet.MemoryImporter{})
 	out, err := vm.EvaluateAnonymousSnippet(name, text)
-	if err := wrong(name, err); err != nil {
+	if err := evaluationError(name, err); err != nil {
 		return nil, err
 	}
 	return template.ParseObject(name, out)
 }
 
 // wrong tells the first line of what the evaluation failed with.
-func wrong(file string, err error) error {
+func evaluationError(file string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/template/template.go
+++ b/internal/template/template.go
@@ -43,15 +43,15 @@
 	return m, nil
 }
 
-var duration = reflect.TypeFor[time.Duration]()
+var durationType = reflect.TypeFor[time.Duration]()
 
 // times reads "1.5s" and refuses bare numbers, which leave the unit open, and parts of what is counted whole.
-func times(from, to reflect.Type, v any) (any, error) {
-	if f, ok := v.(float64); ok && to != duration && to.Kind() >= reflect.Int && to.Kind() <= reflect.Uint64 &&
+func decodeScalar(from, to reflect.Type, v any) (any, error) {
+	if f, ok := v.(float64); ok && to != durationType && to.Kind() >= reflect.Int && to.Kind() <= reflect.Uint64 &&
 		f != math.Trunc(f) {
 		return nil, fmt.Errorf("expected a whole number, got %v", f)
 	}
-	if to != duration || from == duration {
+	if to != durationType || from == durationType {
 		return v, nil
 	}
 	text, ok := v.(string)
@@ -69,21 +69,21 @@
 func Decode(file string, from map[string]any, into any) error {
 	var meta mapstructure.Metadata
 	d, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: into, TagName: Tag, Metadata: &meta,
-		DecodeHook: times, MatchName: func(key, field string) bool { return key == field }})
+		DecodeHook: decodeScalar, MatchName: func(key, field string) bool { return key == field }})
 	if err != nil {
 		return fmt.Errorf("decoder: %w", err)
 	}
 	if err := d.Decode(from); err != nil {
-		var bad *mapstructure.DecodeError
-		if !errors.As(err, &bad) {
+		var decodeErr *mapstructure.DecodeError
+		if !errors.As(err, &decodeErr) {
 			return &Error{File: file, Text: err.Error()}
 		}
-		text := bad.Unwrap().Error()
-		var kind *mapstructure.UnconvertibleTypeError
-		if errors.As(err, &kind) {
-			text = fmt.Sprintf("expected %v, got %v", kind.Expected.Type(), kind.Value)
+		text := decodeErr.Unwrap().Error()
+		var typeErr *mapstructure.UnconvertibleTypeError
+		if errors.As(err, &typeErr) {
+			text = fmt.Sprintf("expected %v, got %v", typeErr.Expected.Type(), typeErr.Value)
 		}
-		return &Error{File: file, Path: bad.Name(), Text: text}
+		return &Error{File: file, Path: decodeErr.Name(), Text: text}
 	}
 	if len(meta.Unused) > 0 {
 		slices.Sort(meta.Unused)
