--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -101,7 +101,7 @@
 		DecisionMargin: 140 * time.Millisecond, OwnAnswerMargin: 110 * time.Millisecond,
 		RequestReadTimeout: 2200 * time.Millisecond, ClientIdleTimeout: 2200 * time.Millisecond, EvictSilentAfter: 250 * time.Millisecond,
 		WriteStallTimeout: 10 * max(longestDeadline, time.Second),
-		DialTimeout:       resources.DialTimeout, ProbeTimeout: resources.DialTimeout, ServerIdleTimeout: s.ConnIdle * 9 / 10,
+		DialTimeout:       resources.DialTimeout, ProbeTimeout: resources.DialTimeout, ServerIdleTimeout: s.ConnIdleTimeout * 9 / 10,
 		ServerReuseDelay: 20 * time.Millisecond, MinServerReuseDelay: 2 * time.Millisecond, AnswerReadTimeout: 400 * time.Millisecond,
 		SendGrace:          s.DrainGrace * 7 / 10,
 		ControlDialTimeout: time.Second, DiscoverySilenceTimeout: 5 * time.Second, PlatformSilenceTimeout: 3500 * time.Millisecond,
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -123,8 +123,8 @@
 // Settled gives the module the end of an attempt; over tells that the request has ended with it. The client has
 // its answer by then: it does not wait for what the module does next.
 func (d *Driver[T]) ReportOutcome(now time.Duration, c *Call[T], e AttemptResult, requestOver bool) {
-	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Took: e.EndedAt - c.SentAt, Server: c.Server,
-		Attempt: c.attempts - 1, Final: requestOver, Begun: e.AnswerBegun, Load: e.Load})
+	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Duration: e.EndedAt - c.SentAt, Server: c.Server,
+		Attempt: c.attempts - 1, RequestEnded: requestOver, AnswerBegun: e.AnswerBegun, Load: e.Load})
 	if requestOver {
 		delete(d.calls, c.ID)
 	}
@@ -138,7 +138,7 @@
 			d.effects.ReportStray(a)
 			return
 		}
-		c.attempts, c.SentAt, c.SendBy, c.ForwardOnly, c.Server, c.inFlight = c.attempts+1, now, a.LeaveBy, a.Forward, a.Server, true
+		c.attempts, c.SentAt, c.SendBy, c.ForwardOnly, c.Server, c.inFlight = c.attempts+1, now, a.SendBy, a.ForwardOnly, a.Server, true
 		d.effects.Start(c, a.Timeout)
 	case logic.Cancel:
 		c := d.calls[a.ID]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -275,7 +275,7 @@
 	case attemptEnded:
 		g.endAttempt(e)
 	case probeEnded:
-		g.feed(logic.ProbeDone{Server: e.server, Outcome: e.result.Outcome, Took: e.result.EndedAt.Sub(e.sentAt),
+		g.feed(logic.ProbeDone{Server: e.server, Outcome: e.result.Outcome, Duration: e.result.EndedAt.Sub(e.sentAt),
 			Load: e.result.Load})
 	case serversUpdated:
 		g.applyServers(e)
@@ -293,7 +293,7 @@
 func (g *Gateway) startRequest(ex *exchange.Exchange) {
 	f := ex.Fields
 	c := g.driver.Submit(g.clock.Now(), &request{ex: ex}, logic.RequestArrived{Class: f.Class, Tenant: f.Tenant,
-		Key: f.Key, HasKey: f.HasKey, Left: max(0, time.Until(ex.Deadline)), Hint: f.ExpectedWork, Retry: f.IsRetry, Zone: f.RequiredZone})
+		Key: f.Key, HasKey: f.HasKey, TimeLeft: max(0, time.Until(ex.Deadline)), ExpectedWork: f.ExpectedWork, MarkedRetry: f.IsRetry, RequiredZone: f.RequiredZone})
 	if !c.Finished() {
 		g.calls[ex] = c
 	}
@@ -350,7 +350,7 @@
 	if g.rules != nil {
 		e = g.rules.applyToRelease(e, g.clock.Now())
 	}
-	if !e.IsReply || e.Reply == logic.VoteCounts {
+	if !e.IsReply || e.Reply == logic.VoteCounted {
 		if e.Build == g.lastRelease.Build && e.Cap < g.lastRelease.Cap {
 			g.outputs.Servers.CancelUnsent(e.Build)
 		}
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -15,7 +15,7 @@
 // that narrows them. The module hears of a cordon as it hears of a drain.
 type rules struct {
 	view         *ruleset.View
-	conduct      lease.Conduct
+	conduct      lease.Permission
 	hosts        map[logic.ServerID]Host          // as listed
 	liftedAt     map[logic.ServerID]time.Duration // when the cordon of this life was lifted: it counts as started then
 	lastStatus   *logic.ReleaseStatus             // the platform's latest; nil: none yet
@@ -26,7 +26,7 @@
 // ruled is a version of the rules, or another conduct.
 type rulesUpdated struct {
 	view    *ruleset.View
-	conduct lease.Conduct
+	conduct lease.Permission
 	applied chan struct{} // closed once the module knows
 }
 
@@ -34,13 +34,13 @@
 // before Run. The Fleet is what dispatchers tell their registrars of the servers.
 func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
 	f := newFleet(g.clock, coldTime)
-	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.Nothing, hosts: map[logic.ServerID]Host{},
+	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.None, hosts: map[logic.ServerID]Host{},
 		liftedAt: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
 }
 
 // Ruled brings a version of the rules, or another conduct, and returns once the module knows of it.
-func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, c lease.Conduct) error {
+func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, c lease.Permission) error {
 	e := rulesUpdated{v, c, make(chan struct{})}
 	if err := g.post(e); err != nil {
 		return err
@@ -105,7 +105,7 @@
 
 // release narrows the platform's news.
 func (r *rules) applyToRelease(e logic.ReleaseStatus, now time.Duration) logic.ReleaseStatus {
-	if !e.IsReply || e.Reply == logic.VoteCounts {
+	if !e.IsReply || e.Reply == logic.VoteCounted {
 		status := e
 		status.IsReply = false
 		r.lastStatus, r.lastStatusAt = &status, now
@@ -137,13 +137,13 @@
 	if r.lastStatus != nil && r.lastStatus.Phase == logic.OnTrial {
 		if now := r.view.Release(*r.lastStatus, r.conduct); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
 			status := *r.lastStatus
-			status.Age += g.clock.Now() - r.lastStatusAt
+			status.StageAge += g.clock.Now() - r.lastStatusAt
 			g.applyRelease(status)
 		}
 	}
 	d := r.view.Document.Rules
-	g.router.Retune(d.Tenants, d.Worth)
-	if r.conduct != lease.Nothing {
+	g.router.SetSharesAndWorths(d.Tenants, d.Worth)
+	if r.conduct != lease.None {
 		return
 	}
 	for ex, c := range g.calls {
