--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what the router is told at start: the environment and the JSON file.
+// Package config reads the configuration of a router: the environment and the JSON file that it names.
 package config
 
 import (
@@ -15,7 +15,7 @@
 	"merlinarch/logic"
 )
 
-// Names of the environment. The file's values hold where a variable is not set.
+// Names of the environment variables. Where one is not set, the file's value holds.
 const (
 	EnvFile      = "LB_CONFIG"
 	envName      = "LB_NAME"
@@ -23,31 +23,32 @@
 	envDiscovery = "LB_DISCOVERY"
 )
 
-// Config is what the router is told at start.
+// Config is the configuration of a router.
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	PeerListen, PeersAll    string
-	Peers                   []string // by their numbers in the settings, this router's own included
-	Platform                string   // empty: none
-	InitialRelease          *fastjson.Value
-	InitialHosts            *fastjson.Value // the list as last held, in discovery's form; nil: none
+	Peers                   []string // indexed by the routers' numbers in the settings, this router included
+	Platform                string   // address of the release platform; empty: none
+	InitialRelease          *fastjson.Value // last known state of the release, in the platform's format; nil: none
+	InitialHosts            *fastjson.Value // last known list of hosts, in discovery's format; nil: none
 	Settings                logic.Settings
 	Limits                  Limits
 
 	path          string
 	env           func(string) string
-	fileAddresses addresses         // as the file names them, whatever the environment says
-	fixedFields   map[string]string // the file's other fields that hold for good, as text
+	fileAddresses addresses         // as the file has them, regardless of the environment
+	fixedFields   map[string]string // JSON text of the file's fields that a reload does not change
 }
 
-// kept are the fields that hold from the start to the end; the rest is addresses, and the state at the start.
+// fixedFieldNames are the fields that hold until the process ends. The other fields are the addresses, which Reload may
+// change, and the state at the start.
 var fixedFieldNames = []string{"name", "listen", "seed", "limits", "peer_listen", "peers", "peers_all", "settings"}
 
-// addresses are what a new configuration may change.
+// addresses are what a reload may change.
 type addresses struct{ discovery, platform string }
 
-// Load reads the file named by path, or by the environment if path is empty.
+// Load reads the configuration file at path, or at the path that the environment names if path is empty.
 func Load(path string, env func(string) string) (Config, error) {
 	if path == "" {
 		path = env(EnvFile)
@@ -67,9 +68,9 @@
 	return c, nil
 }
 
-// Reload reads the file anew. Only discovery's and the platform's addresses may change, each if the file names
-// another than it did; ignored tells which other fields differ. Danger: half a file, or one for another router,
-// would cut this one off from both; a file that is wrong in any part changes nothing.
+// Reload reads the file again. Only the addresses of discovery and the platform may change, each if the file has another
+// than before; ignored names the other fields that differ. A file that is invalid in any part changes nothing: half a
+// file, or one for another router, could otherwise cut this router off from both.
 func (c Config) Reload() (next Config, ignored []string, err error) {
 	loaded, err := Load(c.path, c.env)
 	if err != nil {
@@ -83,7 +84,7 @@
 	case loaded.fileAddresses.discovery == "" && c.fileAddresses.discovery != "":
 		return c, nil, fmt.Errorf("configuration %s: discovery is missing", c.path)
 	}
-	if loaded.fileAddresses.discovery != c.fileAddresses.discovery { // else the environment's still holds
+	if loaded.fileAddresses.discovery != c.fileAddresses.discovery { // otherwise the environment's address still holds
 		next.Discovery = loaded.fileAddresses.discovery
 	}
 	next.Platform = loaded.fileAddresses.platform
@@ -95,7 +96,7 @@
 	return next, ignored, nil
 }
 
-// Parse reads the text of the file; variables of the environment come before what it says.
+// Parse reads the text of a configuration file; environment variables take precedence over it.
 func Parse(data []byte, env func(string) string) (Config, error) {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
@@ -140,13 +141,13 @@
 	c.Limits, err = NewLimits(Resources{Cores: v.GetFloat64("limits", "cores"),
 		MemoryMB: v.GetInt("limits", "memory_mb"), Sockets: v.GetInt("limits", "sockets"),
 		DialTimeout: settings.DialTimeout(settingsValue)}, c.Settings)
-	if c.Settings.MaxOpenRequests <= 0 || c.Settings.MaxOpenRequests > c.Limits.MaxOpen { // the module decides what is let go
+	if c.Settings.MaxOpenRequests <= 0 || c.Settings.MaxOpenRequests > c.Limits.MaxOpen { // the decision module chooses what to refuse beyond its MaxOpen
 		c.Settings.MaxOpenRequests = c.Limits.MaxOpen
 	}
 	return c, err
 }
 
-// checkAddresses finds addresses that can't be used.
+// checkAddresses returns an error for the first address that is missing or invalid.
 func (c *Config) checkAddresses() error {
 	check := func(what, addr string, required bool) error {
 		if addr == "" && !required {
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// seed reads a seed in hex; any other text is hashed.
+// parseSeed reads a seed in hexadecimal; any other text is hashed.
 func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,79 +7,79 @@
 	"merlinarch/logic"
 )
 
-// Limits holds the sizes, counts and times of this node, derived once from the limits that it is told and
-// the settings, and handed down. None of them decides where a request goes or how it ends.
+// Limits holds the sizes, counts and times that this node keeps to. NewLimits derives them once, from the resources
+// of the node and the settings. None of them decides where a request goes or how it ends.
 type Limits struct {
 	Cores       int   // processors that Go may use
-	MemoryBytes int64 // soft limit of Go's memory
-	GCPercent   int   // growth of the heap between collections, while memory allows
+	MemoryBytes int64 // soft memory limit of the Go runtime
+	GCPercent   int   // growth of the heap between collections, as long as memory allows
 
-	MaxBody             int // bytes of a request's body; an answer's may be longer, if AnswerRoom allows
+	MaxBody             int // bytes of a request's body; an answer's may be longer, within LongAnswerBudget
 	MaxAnswer           int // bytes of an answer's body
 	LongAnswerBudget    int // bytes that all answers longer than MaxBody may take together
-	MaxHead             int // bytes of a head, either way
-	MaxPlatformLine     int // bytes of a line of the platform
-	MaxDiscoveryLine    int // bytes of a line of discovery
+	MaxHead             int // bytes of the head of a request or an answer
+	MaxPlatformLine     int // bytes of a line from the release platform
+	MaxDiscoveryLine    int // bytes of a line from discovery
 	MaxDatagram         int // bytes of a message between routers
 	MaxIDLength         int // bytes of a client's id or key
-	MaxEvents           int // events that wait for the loop
-	MaxOpen             int // requests held at a time, as the module is told
-	MaxHeld             int // beyond this the node itself refuses, unseen by the module
+	MaxEvents           int // events that may wait for the gateway's loop
+	MaxOpen             int // requests that the decision module may hold at a time
+	MaxHeld             int // requests beyond this are refused by the node itself and never reach the module
 	ClientConns         int // connections from clients
 	ServerConns         int // connections to servers
-	ClosesPerAcceptWait int // answers that close their connections for each moment that a new one waits
-	SpareClientConns    int // connections from clients kept in hand: beyond, answers close theirs
-	MaxOutgoing         int // messages and votes that wait to be written
+	ClosesPerAcceptWait int // while a new connection waits for room: answers that close their connections per wait
+	SpareClientConns    int // connections from clients kept free: with fewer free, answers close theirs
+	MaxOutgoing         int // messages and votes that may wait to be written
 	MaxIdlePerServer    int // idle connections kept to one server
 
-	EvictIdleAfter          time.Duration // a client's connection idle for less is not closed for want of room
-	RetryAfter              time.Duration // advice with the node's own refusals: the longest that clients follow
+	EvictIdleAfter          time.Duration // a client's connection that has been idle for less is not closed to make room
+	RetryAfter              time.Duration // Retry-After of the node's own refusals: the longest that clients follow
 	MaxWait                 time.Duration // the longest time that a client may say it waits
-	DecisionMargin          time.Duration // before a client's time is over, the decisions' time is; see Margins
-	OwnAnswerMargin         time.Duration // before a client's time is over, the node answers by itself; see Margins
-	RequestReadTimeout      time.Duration // from connecting, or a later request's first byte, until a request is whole
+	DecisionMargin          time.Duration // the module's deadline is this long before the client's; see Margins
+	OwnAnswerMargin         time.Duration // the node answers by itself this long before the client's deadline; see Margins
+	RequestReadTimeout      time.Duration // from connecting, or a later request's first byte, until a request is complete
 	ClientIdleTimeout       time.Duration // a client's connection idle for longer is closed
-	EvictSilentAfter        time.Duration // a connection that has brought no head for less is not closed for want of room
-	WriteStallTimeout       time.Duration // a client that reads nothing for longer is cut off; half of it at the least
+	EvictSilentAfter        time.Duration // a connection that has brought no head for less is not closed to make room
+	WriteStallTimeout       time.Duration // a client that reads nothing is cut off after half of this time to all of it
 	DialTimeout             time.Duration // for a connection to a server
 	ProbeTimeout            time.Duration // for a probe of a server
-	ServerIdleTimeout       time.Duration // idle connections to servers are closed after this
-	ServerReuseDelay        time.Duration // after an answer its connection is left alone for this long
-	MinServerReuseDelay     time.Duration // the same where there is no descriptor for another connection
-	AnswerReadTimeout       time.Duration // from a server's answer's first byte to its last
-	SendGrace               time.Duration // a send decided before a drain may leave so long after it
-	ControlDialTimeout      time.Duration // for a connection to discovery or the platform
-	DiscoverySilenceTimeout time.Duration // a watch of discovery silent for longer is broken
-	PlatformSilenceTimeout  time.Duration // a connection to the platform silent for longer is broken
-	VoteTimeout             time.Duration // a vote unanswered for longer may count
-	AddressChangeGrace      time.Duration // after a new address, what waits on a connection to the old one has this long
-	DrainDelay              time.Duration // after SIGTERM: go on as before
-	DrainCloseUntil         time.Duration // then end connections between requests until this
-	DrainTimeout            time.Duration // then finish what was taken, at the longest
-	KillAfter               time.Duration // after SIGTERM: when the process may be ended, whatever it does
-	HangupPollInterval      time.Duration // pauses between looks for the end of a connection that has more bytes before it
-	Linger                  time.Duration // behind a last answer, for its client to close too; zero: the connection closes at once
-	LingerBytes             int64         // bytes read meanwhile at the most
-	BacklogQuietTime        time.Duration // while accepting ends: the backlog is empty once it has brought nothing for so long
+	ServerIdleTimeout       time.Duration // connections to servers idle for longer are closed
+	ServerReuseDelay        time.Duration // after an answer its connection is not used again for this long
+	MinServerReuseDelay     time.Duration // the same where no descriptor is left for another connection
+	AnswerReadTimeout       time.Duration // from the first byte of a server's answer to its last
+	SendGrace               time.Duration // a send decided before a drain may still go out for this long after it
+	ControlDialTimeout      time.Duration // for a connection to discovery or the release platform
+	DiscoverySilenceTimeout time.Duration // a watch of discovery silent for longer is taken for broken
+	PlatformSilenceTimeout  time.Duration // a connection to the release platform silent for longer is taken for broken
+	VoteTimeout             time.Duration // a vote unanswered for longer may or may not have been counted
+	AddressChangeGrace      time.Duration // after a change of address, what waits on a connection to the old one has this long
+	DrainDelay              time.Duration // after SIGTERM, the node goes on as before for this long
+	DrainCloseUntil         time.Duration // then it closes connections between requests, until this long after SIGTERM
+	DrainTimeout            time.Duration // then it waits at most this long for requests that it has accepted
+	KillAfter               time.Duration // from this long after SIGTERM on the process may be killed, whatever it does
+	HangupPollInterval      time.Duration // between checks whether a peer has closed a connection that still has unread bytes
+	Linger                  time.Duration // wait after a last answer for its client to close first; zero: close at once
+	LingerBytes             int64         // the most bytes read during Linger
+	BacklogQuietTime        time.Duration // as accepting ends, the backlog counts as empty once it has brought nothing for this long
 }
 
-// Told is what the deployment says this node may use.
+// Resources are what the deployment lets this node use.
 type Resources struct {
 	Cores       float64
 	MemoryMB    int
 	Sockets     int
-	DialTimeout time.Duration // the settings' time-out for connections to servers; zero: none
+	DialTimeout time.Duration // from the settings, for connections to servers; zero: none is set
 }
 
 const (
 	mebibyte            = 1 << 20
-	reservedDescriptors = 24        // descriptors: standard streams, poller, listeners, discovery, platform, spare
-	maxRequestMemory    = 192 << 10 // a body, an answer, buffers and stacks of a request at the most
+	reservedDescriptors = 24        // for standard streams, poller, listeners, discovery, platform, and spare
+	maxRequestMemory    = 192 << 10 // bytes that a request takes at most: its body, answer, buffers and stacks
 	minMemoryMB         = 24
 	minSockets          = 40
 )
 
-// NewLimits derives the limits.
+// NewLimits derives the limits of a node from its resources and the settings.
 func NewLimits(resources Resources, s logic.Settings) (Limits, error) {
 	if resources.Cores <= 0 || resources.MemoryMB < minMemoryMB || resources.Sockets < minSockets {
 		return Limits{}, fmt.Errorf("limits: cores %g, memory_mb %d, sockets %d: needs more than 0, %d and %d",
@@ -114,8 +114,8 @@
 	}
 	l.ClosesPerAcceptWait = 8
 	l.SpareClientConns, l.MaxIdlePerServer = l.ClientConns/8, max(2, l.ServerConns/4)
-	// Danger: held requests keep their connections; with few left for the rest, each refusal closes one and the
-	// backlog grows faster than it is taken from.
+	// Held requests keep their connections. If they left few for other requests, each refusal would close one, and the
+	// accept backlog would grow faster than it is emptied.
 	l.MaxHeld = max(4, min(l.MaxHeld, l.ClientConns/3))
 	l.MaxOpen = l.MaxHeld * 9 / 10
 	if l.DialTimeout <= 0 {
@@ -130,8 +130,9 @@
 	return l, nil
 }
 
-// Margins gives AnswerMargin and LastMargin for a client that waits so long: a small part of a short wait.
-// Danger: on a busy machine an answer takes its time from the loop to the client, and must not come late.
+// Margins returns DecisionMargin and OwnAnswerMargin for a client that waits this long, each limited to a small part of
+// a short wait. On a busy machine an answer takes time from the loop to the client; without the margins it would come
+// too late.
 func (l Limits) Margins(wait time.Duration) (decision, ownAnswer time.Duration) {
 	return min(l.DecisionMargin, wait/5), min(l.OwnAnswerMargin, wait/7)
 }
