--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,8 +28,8 @@
 	Name, Listen, Discovery string
 	Seed                    uint64
 	PeerListen, PeersAll    string
-	Peers                   []string // indexed by the routers' numbers in the settings, this router included
-	Platform                string   // address of the release platform; empty: none
+	Peers                   []string        // indexed by the routers' numbers in the settings, this router included
+	Platform                string          // address of the release platform; empty: none
 	InitialRelease          *fastjson.Value // last known state of the release, in the platform's format; nil: none
 	InitialHosts            *fastjson.Value // last known list of hosts, in discovery's format; nil: none
 	Settings                logic.Settings
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,6 +1,7 @@
-// Package driver turns the module's actions into effects, and what becomes of them into the module's events. It
-// is the part of a router's loop that knows neither sockets nor clocks nor goroutines: the gateway drives it in
-// real time, the rehearsal in virtual time, and both owe each call the same things. It decides nothing.
+// Package driver connects the decision module with its surroundings: it carries out the module's actions through
+// Effects, and feeds their results to the module as events. It is the part of a router's loop that uses no sockets,
+// clocks or goroutines. The gateway runs it in real time and the rehearsal (the simulation) in virtual time, and each
+// call is treated the same in both. It decides nothing.
 package driver
 
 import (
@@ -10,50 +11,51 @@
 	"merlinarch/logic"
 )
 
-// Module makes the decisions. Handle's slice is valid until its next call. *logic.Router is one.
+// Module makes the decisions; *logic.Router implements it. The slice that Handle returns is valid until the next call of
+// Handle.
 type Module interface {
 	Handle(now time.Duration, e logic.Event) []logic.Action
 }
 
-// Call is a request that the module knows of.
+// Call is a request that the module knows. T is the type of the caller's own record of it.
 type Call[T any] struct {
 	ID      logic.RequestID
-	Request T // what the host of the driver knows it by
+	Request T // the caller's own record of it
 	Server  logic.ServerID
-	SentAt  time.Duration // the latest attempt's, on the module's clock
+	SentAt  time.Duration // when the latest attempt was sent, on the module's clock
 
-	SendBy      time.Duration // the latest time at which the latest attempt may go out, on the module's clock; zero: any
-	ForwardOnly bool          // of a key that goes to no earlier build any more; see logic.Send
+	SendBy      time.Duration // the latest time at which the latest attempt may go out, on the module's clock; zero: no limit
+	ForwardOnly bool          // its key may not go back to an earlier build; see logic.Send
 
 	attempts           int
 	inFlight, finished bool
 }
 
-// Attempt is the number of the latest attempt; the first is 0.
+// Attempt returns the number of the latest attempt; the first is 0, and -1 means none.
 func (c *Call[T]) Attempt() int { return c.attempts - 1 }
 
-// Out tells whether an attempt is out.
+// InFlight reports whether an attempt is in flight.
 func (c *Call[T]) InFlight() bool { return c.inFlight }
 
-// Gone tells whether the client has its final answer from the module, or has left.
+// Finished reports whether the module has given the final answer or the client has left.
 func (c *Call[T]) Finished() bool { return c.finished }
 
-// Effects carries out what the module asks. None of its methods may call the driver back before it returns.
+// Effects carries out the module's actions. None of its methods may call the driver before it returns.
 type Effects[T any] interface {
-	// Start begins the attempt that the call now has out; a zero timeout means until the client gives up.
-	// Its end is to be told with Outcome exactly once.
+	// Start begins the call's attempt, which the driver already counts as in flight; a zero timeout means until the client
+	// gives up. Its end must be reported exactly once, with EndAttempt and ReportOutcome.
 	Start(c *Call[T], timeout time.Duration)
-	// GiveUp ends the attempt that is out; Outcome still follows.
+	// CancelAttempt cancels the attempt in flight, whose end must still be reported.
 	CancelAttempt(c *Call[T])
-	// Finish gives the client the module's final answer.
+	// Finish gives the client the final answer of the module.
 	Finish(c *Call[T], refused bool, retryAfter time.Duration)
-	// Do carries out an action that concerns no call.
+	// Do carries out an action that belongs to no call.
 	Do(a logic.Action)
-	// Stray is told of an action for a call that is not there or not in a state for it.
+	// ReportStray reports an action for a call that does not exist or is not in a state for it.
 	ReportStray(a logic.Action)
 }
 
-// Driver feeds one module.
+// Driver runs one module.
 type Driver[T any] struct {
 	module  Module
 	effects Effects[T]
@@ -61,23 +63,23 @@
 	lastID  uint64
 }
 
-// New makes a driver round a module.
+// New returns a driver of a module.
 func New[T any](m Module, e Effects[T]) *Driver[T] {
 	return &Driver[T]{module: m, effects: e, calls: map[logic.RequestID]*Call[T]{}}
 }
 
-// Open is the number of calls that have no final answer or have an attempt out.
+// OpenCalls returns the number of calls without a final answer or with an attempt in flight.
 func (d *Driver[T]) OpenCalls() int { return len(d.calls) }
 
-// Feed gives the module one event and carries out what it asks.
+// Feed gives the module one event and carries out the actions that it returns.
 func (d *Driver[T]) Feed(now time.Duration, e logic.Event) {
 	for _, a := range d.module.Handle(now, e) {
 		d.perform(now, a)
 	}
 }
 
-// Arrive hands over a request under a name of the driver's own, which replaces e.ID. Danger: a client's id may
-// come twice, even while the first is out.
+// Submit gives the module a request under an id that the driver assigns in place of e.ID, since a client's id may come
+// twice, even while its first request is in progress.
 func (d *Driver[T]) Submit(now time.Duration, request T, e logic.RequestArrived) *Call[T] {
 	d.lastID++
 	c := &Call[T]{ID: logic.RequestID(strconv.FormatUint(d.lastID, 36)), Request: request}
@@ -87,8 +89,8 @@
 	return c
 }
 
-// Leave tells that a request has ended without the module's doing. It returns false where an attempt is still
-// out, whose end may bring an answer for a client that has only stopped sending.
+// Abandon tells the module that a request has ended without an answer from it, and reports whether the call is done. It is
+// not while an attempt is in flight, which may still bring an answer for a client that has only stopped sending.
 func (d *Driver[T]) Abandon(now time.Duration, c *Call[T]) (done bool) {
 	if d.calls[c.ID] != c {
 		return true
@@ -101,8 +103,8 @@
 	return !c.inFlight
 }
 
-// Returned finds the call whose attempt has ended, and notes that; nil for one that is not out. Danger: an
-// outcome told twice, or late, must not pass for the next attempt's. Settled must follow.
+// EndAttempt marks an attempt as ended and returns its call. It returns nil if that attempt is not in flight, so that an
+// outcome reported twice or late does not count for the next attempt. ReportOutcome must follow.
 func (d *Driver[T]) EndAttempt(id logic.RequestID, attempt int) *Call[T] {
 	c := d.calls[id]
 	if c == nil || !c.inFlight || attempt != c.attempts-1 {
@@ -112,16 +114,16 @@
 	return c
 }
 
-// End is how an attempt ended.
+// AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Outcome     logic.Outcome
-	EndedAt     time.Duration // when that was seen, on the module's clock
-	AnswerBegun bool          // a good answer had begun to come, though it is of no use
+	EndedAt     time.Duration // when the end was seen, on the module's clock
+	AnswerBegun bool          // a good answer had begun to come, but is not usable
 	Load        *logic.Load
 }
 
-// Settled gives the module the end of an attempt; over tells that the request has ended with it. The client has
-// its answer by then: it does not wait for what the module does next.
+// ReportOutcome gives the module the result of an attempt; requestOver tells that the request has ended with it. The
+// client must have its answer by then, so that it does not wait for what the module does next.
 func (d *Driver[T]) ReportOutcome(now time.Duration, c *Call[T], e AttemptResult, requestOver bool) {
 	d.Feed(now, logic.AttemptDone{ID: c.ID, Outcome: e.Outcome, Duration: e.EndedAt - c.SentAt, Server: c.Server,
 		Attempt: c.attempts - 1, RequestEnded: requestOver, AnswerBegun: e.AnswerBegun, Load: e.Load})
@@ -130,6 +132,7 @@
 	}
 }
 
+// perform carries out one action of the module.
 func (d *Driver[T]) perform(now time.Duration, a logic.Action) {
 	switch a := a.(type) {
 	case logic.Send:
@@ -156,6 +159,7 @@
 	}
 }
 
+// finish gives a call its final answer, and forgets the call unless an attempt is in flight.
 func (d *Driver[T]) finish(id logic.RequestID, a logic.Action, refused bool, retryAfter time.Duration) {
 	c := d.calls[id]
 	if c == nil {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange holds the object through which alone the client side and the server side of the router
-// meet: what is passed on unchanged, the fields that decisions need, and the final answer, exactly one. It
-// knows no protocol, so that others can be put before the same decisions.
+// Package exchange defines the Exchange, the only object that the client side and the server side of the router share
+// for a request. It holds what is passed on unchanged, the fields that decisions need, and exactly one final answer. The
+// package knows no protocol, so that further protocols can use the same decisions.
 package exchange
 
 import (
@@ -9,52 +9,52 @@
 	"time"
 )
 
-// Message is what is passed on as it came.
+// Message is the part of a request that is passed on unchanged.
 type Message struct {
-	Method   string // what is asked to be done
-	Target   string // what it is asked of, path and query as written by the client
-	ID       string // the client's own id of this try; it may come twice
-	DedupKey string // under which servers drop repeats; empty where there is none
+	Method   string
+	Target   string // path and query as the client wrote them
+	ID       string // the client's id of this try; not necessarily unique
+	DedupKey string // idempotency key by which servers drop repeats; empty: none
 	Body     []byte
 }
 
-// Fields is what decisions need to know of a request.
+// Fields are the properties of a request that decisions depend on.
 type Fields struct {
 	Class        string
 	Tenant       string
 	Key          uint64
 	HasKey       bool
-	ExpectedWork time.Duration // expected work; zero where unknown
+	ExpectedWork time.Duration // zero: unknown
 	IsRetry      bool          // marked by the client as a repeat
-	RequiredZone string        // that alone has what it asks for; empty: any
+	RequiredZone string        // the only zone whose servers can answer it; empty: any zone
 }
 
-// Status tells how a request ended.
+// Status is how a request ended.
 type Status int
 
-// Ends of a request.
+// Statuses of an ended request.
 const (
 	Served   Status = iota
-	Refused         // trying again is harmless
-	Failed          // promises nothing
-	TimedOut        // failed, as its time ran out
+	Refused         // the client may safely try again
+	Failed          // the request may or may not have been processed
+	TimedOut        // failed since its deadline passed
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
 	Status     Status
 	Body       []byte        // of a server's answer, unchanged
-	FreeBody   func()        // to be called once the body is of no more use; nil: nothing to do
+	FreeBody   func()        // releases the body's memory once it is no longer used; nil: nothing to release
 	RetryAfter time.Duration // of a refusal; zero: no advice
-	Attempts   int           // at servers, that were made for it
+	Attempts   int           // number of attempts made at servers
 }
 
-// Exchange is one request on its way through the router.
+// Exchange is a request on its way through the router.
 type Exchange struct {
 	Message    Message
 	Fields     Fields
-	Deadline   time.Time // when the decisions' time is over
-	DispatchID string    // the name of the planned work that it is, under the agreed rules; empty: a client's request
+	Deadline   time.Time // when the decision module's time for it ends
+	DispatchID string    // id of the dispatch (planned work under the agreed rules) that it carries out; empty: a client's request
 
 	abandoned atomic.Bool
 
@@ -64,13 +64,13 @@
 	done   chan struct{}
 }
 
-// New begins an exchange.
+// New returns an exchange without an answer.
 func New(m Message, f Fields, deadline time.Time) *Exchange {
 	return &Exchange{Message: m, Fields: f, Deadline: deadline, done: make(chan struct{})}
 }
 
-// Finish gives the final answer and tells whether this one counts. Danger: a late answer of the decisions
-// and the client side's own at the deadline may cross; only the first is ever given.
+// Finish sets the final answer, unless there is one already, and reports whether it did. A late answer from the decision
+// module and the client side's own answer at the deadline may come at the same time; only the first is used.
 func (e *Exchange) Finish(a Answer) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,23 +82,23 @@
 	return true
 }
 
-// Leave notes that nobody waits for the answer any more.
+// Abandon records that nobody waits for the answer any more.
 func (e *Exchange) Abandon() { e.abandoned.Store(true) }
 
-// Left tells that nobody waits for the answer any more.
+// Abandoned reports whether nobody waits for the answer any more.
 func (e *Exchange) Abandoned() bool { return e.abandoned.Load() }
 
-// Release gives back what an answer holds.
+// Release frees the memory that the answer's body holds.
 func (a Answer) Release() {
 	if a.FreeBody != nil {
 		a.FreeBody()
 	}
 }
 
-// Done is closed once the final answer is there.
+// Done returns a channel that is closed once the final answer is set.
 func (e *Exchange) Done() <-chan struct{} { return e.done }
 
-// Ended tells whether the final answer is there.
+// Ended reports whether the final answer is set.
 func (e *Exchange) Ended() bool {
 	select {
 	case <-e.done:
@@ -108,7 +108,7 @@
 	}
 }
 
-// Answer is the final answer; it is meaningful once Done is closed.
+// Answer returns the final answer; it is valid once Done is closed.
 func (e *Exchange) Answer() Answer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
