--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -13,22 +13,24 @@
 	"merlinarch/logic"
 )
 
-// Fleet is what this dispatcher knows of the servers, for the registrars. The loop writes it, the accord's task reads it.
+// Fleet collects what this dispatcher (a gateway under agreed rules) reports to the registrars (the members of the Raft
+// group that replicates those rules) about the servers. The gateway's loop writes it, and the goroutine that talks to the
+// registrars reads it.
 type Fleet struct {
 	clock    Clock
 	coldTime time.Duration
 
 	mu           sync.Mutex
 	hosts        map[logic.ServerID]Host
-	reports      map[logic.ServerID]cordon.Report // since the last Reports
-	siteEvidence map[string]contact.Evidence      // since the last Met
+	reports      map[logic.ServerID]cordon.Report // since the last TakeReports
+	siteEvidence map[string]contact.Evidence      // by site, since the last TakeSiteEvidence
 }
 
 func newFleet(clock Clock, coldTime time.Duration) *Fleet {
 	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Report{}, siteEvidence: map[string]contact.Evidence{}}
 }
 
-// set takes the list as it stands now.
+// setHosts replaces the list of servers.
 func (f *Fleet) setHosts(hosts map[logic.ServerID]Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +40,8 @@
 	}
 }
 
-// noted counts what came of an attempt: for its site, whether anything came at all, and for the server, its answers.
+// recordResult counts the result of an attempt: for the server's site, whether the site responded at all, and for the
+// server, its answers and errors.
 func (f *Fleet) recordResult(id logic.ServerID, result Result) {
 	o := result.Outcome
 	f.mu.Lock()
@@ -68,7 +71,7 @@
 	f.reports[id] = r
 }
 
-// Listed is the list, with a sum over it.
+// Servers returns the list of servers, sorted by name, and a checksum that changes with it.
 func (f *Fleet) Servers() (servers []cordon.Server, sum string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,7 +86,7 @@
 	return servers, fmt.Sprintf("%x", h.Sum64())
 }
 
-// Met is what came of attempts at each site since it was last asked for.
+// TakeSiteEvidence returns the counts of each site since the last call, and resets them.
 func (f *Fleet) TakeSiteEvidence() []contact.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,7 +99,7 @@
 	return out
 }
 
-// Reports is what servers have answered since it was last asked for.
+// TakeReports returns the counts of each server since the last call, and resets them.
 func (f *Fleet) TakeReports() []cordon.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway runs the decision module: one goroutine owns it, takes events in through a channel, and
-// hands its actions to the packages that speak with the router's peers. It decides nothing itself.
+// Package gateway runs the decision module (package logic) on sockets and real time. One goroutine, the loop, owns the
+// module, receives events through a channel, and hands the module's actions to the packages that talk to servers, to the
+// release platform and to other routers. It decides nothing itself.
 package gateway
 
 import (
@@ -17,13 +18,13 @@
 	"merlinarch/logic"
 )
 
-// Host is a server as discovery lists it, and where it listens.
+// Host is a server as discovery lists it, with its address.
 type Host struct {
 	logic.Server
 	Addr          string
-	Name          string // as the list has it
-	MachineClass  string // of machine
-	StartedUnixMs int64  // when this life started, in Unix time and milliseconds; 0: long ago
+	Name          string // in discovery's list
+	MachineClass  string
+	StartedUnixMs int64 // when this incarnation started; 0: long ago
 }
 
 // Attempt is one try of a request at a server.
@@ -31,65 +32,65 @@
 	Exchange    *exchange.Exchange
 	Server      logic.ServerID
 	DecidedAt   time.Time // when the module asked for it
-	Deadline    time.Time // when the wait for its outcome ends
-	SendBy      time.Time // the latest time at which its first byte may go out; zero: any
-	ForwardOnly bool      // of a key that goes to no earlier build any more; see logic.Send
-	// Report is called exactly once, with how it ended, never from Start itself.
+	Deadline    time.Time // when waiting for its outcome ends
+	SendBy      time.Time // the latest time at which its first byte may go out; zero: no limit
+	ForwardOnly bool      // its key may not go back to an earlier build; see logic.Send
+	// Report is called exactly once with the result, and never from within Start.
 	Report func(Result)
 }
 
-// Result tells how an attempt or a probe ended, and what came back.
+// Result is how an attempt or a probe ended, and what was received.
 type Result struct {
 	Outcome     logic.Outcome
-	ConnRefused bool // ConnectFailed, by a machine that is there
-	NoLease     bool // NotSent, since nothing may be sent now: no lease on the agreed rules stands
-	AnswerBegun bool // not OK, but a good answer had begun to come
+	ConnRefused bool // with ConnectFailed: the machine is up but refused the connection
+	NoLease     bool // with NotSent: nothing may be sent, since this dispatcher holds no valid lease on the agreed rules
+	AnswerBegun bool // the outcome is not OK, but a good answer had begun to come
 	Body        []byte
-	FreeBody    func() // gives back the room that the body takes; nil: nothing to do
+	FreeBody    func() // releases the memory of the body; nil: nothing to release
 	Load        *logic.Load
-	EndedAt     time.Time // when that was seen
+	EndedAt     time.Time // when the end was seen
 }
 
-// Servers is the server side. None of its methods may block.
+// Servers is the server side of the router. None of its methods may block.
 type Servers interface {
 	UpdateServers(full bool, hosts []Host)
-	// Start begins an attempt; the function it returns gives the attempt up.
+	// Start begins an attempt; the function that it returns cancels the attempt.
 	Start(Attempt) (cancel func())
 	Probe(server logic.ServerID, report func(Result))
 	CloseIdle(server logic.ServerID)
-	// Recall voids sends to servers of a build that were decided before now and have not left.
+	// CancelUnsent cancels attempts at servers of a build that were decided before now and have not been sent.
 	CancelUnsent(build logic.BuildID)
 }
 
-// Platform takes votes; Vote must not block.
+// Platform sends votes to the release platform; Vote must not block.
 type Platform interface{ Vote(logic.Vote) }
 
-// Peers takes messages for other routers; Post must not block.
+// Peers sends messages to other routers; Post must not block.
 type Peers interface{ Post(logic.Post) }
 
-// Parts is what the gateway hands actions to.
+// Outputs are the destinations of the module's actions.
 type Outputs struct {
 	Servers  Servers
 	Platform Platform
 	Peers    Peers
 }
 
-// Clock is monotonic time from one origin. Unix times are mapped to it once, at the origin.
+// Clock measures monotonic time since its origin. The mapping from Unix times is fixed when the clock is made.
 type Clock struct{ origin time.Time }
 
-// NewClock starts a clock; its time begins above zero, since zero means 'never' or 'long ago' to the module.
+// NewClock returns a clock. Its time starts above zero, since zero means "never" or "long ago" to the module.
 func NewClock() Clock { return Clock{time.Now().Add(-time.Hour)} }
 
-// Now is the time since the origin.
+// Now returns the time since the origin.
 func (c Clock) Now() time.Duration { return time.Since(c.origin) }
 
-// At is a moment's time since the origin.
+// At returns the time from the origin to t.
 func (c Clock) At(t time.Time) time.Duration { return t.Sub(c.origin) }
 
-// Time is the moment that is so long after the origin.
+// Time returns the moment that lies this long after the origin.
 func (c Clock) Time(since time.Duration) time.Time { return c.origin.Add(since) }
 
-// FromUnix maps a Unix time in milliseconds; zero, long ago, stays zero.
+// FromUnix converts a Unix time in milliseconds; zero, which means long ago, stays zero.
 func (c Clock) FromUnix(ms float64) time.Duration {
 	if ms <= 0 {
 		return 0
@@ -101,21 +102,21 @@
 	return at
 }
 
-// request is what the gateway knows a call by.
+// request is the gateway's own record of a call.
 type request struct {
 	ex     *exchange.Exchange
-	cancel func() // gives up the attempt that is out
+	cancel func() // cancels the attempt in flight
 }
 
 type call = driver.Call[*request]
 
-// event is one that waits for the loop.
+// event is an event that waits for the loop.
 type event struct {
 	payload  any
-	postedAt time.Time // when it was posted
+	postedAt time.Time
 }
 
-// Events of the node itself.
+// Events of the node itself. The gateway translates them into the module's events.
 type (
 	requestArrived   struct{ ex *exchange.Exchange }
 	requestAbandoned struct{ ex *exchange.Exchange }
@@ -135,7 +136,7 @@
 	}
 )
 
-// Gateway is the loop round the module.
+// Gateway is the loop that owns the decision module.
 type Gateway struct {
 	limits  config.Limits
 	outputs Outputs
@@ -148,15 +149,15 @@
 	timers       timers
 	driver       *driver.Driver[*request]
 	calls        map[*exchange.Exchange]*call
-	lastRelease  logic.ReleaseStatus // as handed to the module
-	serversKnown bool                // servers are known
-	releaseKnown bool                // the newest build's state is known
+	lastRelease  logic.ReleaseStatus // as the module was last given it
+	serversKnown bool                // a list with servers has been received
+	releaseKnown bool                // the state of the newest build has been received
 	ready        atomic.Bool
-	rules        *rules // nil: no accord
+	rules        *rules // nil: no agreed rules are in use
 	router       *logic.Router
 }
 
-// New makes a gateway round a router; Run starts it.
+// New returns a gateway for a decision module; Run starts it.
 func New(router *logic.Router, limits config.Limits, clock Clock, count *metrics.Registry, log *zap.Logger) *Gateway {
 	g := &Gateway{limits: limits, clock: clock, count: count, log: log,
 		events: make(chan event, limits.MaxEvents), done: make(chan struct{}), calls: map[*exchange.Exchange]*call{}}
@@ -164,13 +165,13 @@
 	return g
 }
 
-// ErrStopped tells that the loop has ended.
+// ErrStopped means that the loop has ended.
 var ErrStopped = errors.New("gateway stopped")
 
-// post puts an event before the loop. It waits while the loop is behind; the loop never waits for a poster.
+// post queues an event for the loop. It waits while the queue is full; the loop never waits for a poster.
 func (g *Gateway) post(e any) error {
 	select {
-	case <-g.done: // else the queue might still take it, and nobody would read it
+	case <-g.done: // otherwise the queue might accept an event that nobody reads
 		return ErrStopped
 	default:
 	}
@@ -182,19 +183,19 @@
 	}
 }
 
-// Submit hands a request to the module, which will finish the exchange.
+// Submit gives a request to the module, which will finish the exchange.
 func (g *Gateway) Submit(ex *exchange.Exchange) error { return g.post(requestArrived{ex}) }
 
-// Left tells that a request's client has gone, or that the node has answered it by itself.
+// Abandon tells the module that a request's client has gone, or that the node has answered the request by itself.
 func (g *Gateway) Abandon(ex *exchange.Exchange) {
-	ex.Abandon() // an attempt that is being made sees it at once, whether or not the settings let it be given up
+	ex.Abandon() // an attempt being started sees this at once, even if the settings allow no cancelling
 	g.notify(requestAbandoned{ex})
 }
 
-// Ready tells that the module knows servers and the newest build's state: before that it can send nothing.
+// Ready reports whether the module knows servers and the state of the newest build. Before that it can send nothing.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
 
-// Listed brings discovery's news.
+// UpdateServers passes on a list of servers from discovery: the full list, or changes to it.
 func (g *Gateway) UpdateServers(full bool, hosts []Host) {
 	e := logic.ServersListed{Full: full}
 	for _, h := range hosts {
@@ -203,23 +204,23 @@
 	g.notify(serversUpdated{e, hosts})
 }
 
-// ListingFailed tells that the watch of discovery broke.
+// DiscoveryFailed tells the module that the watch of discovery broke.
 func (g *Gateway) DiscoveryFailed() { g.notify(logic.ServersListed{Failed: true}) }
 
-// Released brings the platform's news or its reply to a vote.
+// UpdateRelease passes on a release status from the platform, or its reply to a vote.
 func (g *Gateway) UpdateRelease(e logic.ReleaseStatus) { g.notify(e) }
 
-// Heard brings another router's message.
+// DeliverPeerMessage passes on another router's message.
 func (g *Gateway) DeliverPeerMessage(e logic.PeerMessage) { g.notify(e) }
 
-// notify posts an event that is of no use to anybody once the loop has ended.
+// notify posts an event that nobody needs once the loop has ended.
 func (g *Gateway) notify(e any) {
 	if g.post(e) != nil {
 		g.count.Inc("events.after_end")
 	}
 }
 
-// Run owns the module until ctx ends. Parts must be complete by then.
+// Run runs the loop until ctx ends. All outputs must be set and ready for use.
 func (g *Gateway) Run(ctx context.Context, outputs Outputs) {
 	defer close(g.done)
 	g.outputs = outputs
@@ -244,9 +245,9 @@
 	}
 }
 
-// fire hands due timers to the module, before any event that waits. Danger: a tick over 0.1 s late passes
-// for a stall of the router, and its evidence is dropped; so nothing here dials, writes, parses or logs at
-// length, and the worst lateness is counted.
+// fireTimers gives due timers to the module, ahead of events that wait. The module takes a tick over 0.1 s late for a
+// stall of the router and drops its evidence. The loop therefore never dials, writes to sockets, parses or logs at length,
+// and the worst lateness is counted.
 func (g *Gateway) fireTimers() {
 	for {
 		now := g.clock.Now()
@@ -262,10 +263,10 @@
 	}
 }
 
-// feed gives the module one event and carries out what it asks.
+// feed gives the module one event and carries out the actions that it returns.
 func (g *Gateway) feed(e logic.Event) { g.driver.Feed(g.clock.Now(), e) }
 
-// take translates one event of the node into the module's.
+// handle processes one event from the queue.
 func (g *Gateway) handle(e any) {
 	switch e := e.(type) {
 	case requestArrived:
@@ -289,7 +290,7 @@
 	}
 }
 
-// arrive hands a request to the module.
+// startRequest gives a new request to the module.
 func (g *Gateway) startRequest(ex *exchange.Exchange) {
 	f := ex.Fields
 	c := g.driver.Submit(g.clock.Now(), &request{ex: ex}, logic.RequestArrived{Class: f.Class, Tenant: f.Tenant,
@@ -299,8 +300,8 @@
 	}
 }
 
-// leave tells the module that a request has ended without its doing. An attempt that is out may still bring
-// an answer for a client that has only stopped sending; where none is, such a client is told at once.
+// abandonRequest tells the module that a request has ended without an answer from it. An attempt in flight may still
+// bring an answer for a client that has only stopped sending; if there is none, such a client gets a failure at once.
 func (g *Gateway) abandonRequest(ex *exchange.Exchange) {
 	c := g.calls[ex]
 	if c == nil {
@@ -312,7 +313,7 @@
 	}
 }
 
-// outcome gives the module the end of an attempt. An answer is the client's at once.
+// endAttempt processes the result of an attempt. The client gets its answer before the module gets the result.
 func (g *Gateway) endAttempt(e attemptEnded) {
 	c := g.driver.EndAttempt(e.id, e.attempt)
 	if c == nil {
@@ -328,7 +329,7 @@
 		g.rules.fleet.recordResult(c.Server, e.result)
 	}
 	switch {
-	case e.result.NoLease && e.attempt == 0: // nothing has been sent for it
+	case e.result.NoLease && e.attempt == 0: // nothing has been sent for this request
 		ex.Finish(exchange.Answer{Status: exchange.Refused, RetryAfter: g.limits.RetryAfter})
 	case e.result.Outcome == logic.OK:
 		if a := (exchange.Answer{Status: exchange.Served, Body: e.result.Body, FreeBody: e.result.FreeBody, Attempts: e.attempt + 1}); !ex.Finish(a) {
@@ -344,8 +345,8 @@
 		Load: e.result.Load}, requestOver)
 }
 
-// release passes on the platform's news, narrowed by the agreed rules. Sends to a build whose share has fallen must not
-// leave late.
+// applyRelease gives the module a release status, restricted by the agreed rules. If the exposure cap of a build has
+// fallen, attempts that were decided under the higher cap and have not been sent are cancelled.
 func (g *Gateway) applyRelease(e logic.ReleaseStatus) {
 	if g.rules != nil {
 		e = g.rules.applyToRelease(e, g.clock.Now())
@@ -360,10 +361,10 @@
 	g.feed(e)
 }
 
-// effects carries out what the module asks.
+// effects implements driver.Effects.
 type effects struct{ *Gateway }
 
-// Start hands an attempt to the server side.
+// Start passes an attempt to the server side.
 func (g effects) Start(c *call, timeout time.Duration) {
 	now := time.Now()
 	deadline := c.Request.ex.Deadline
@@ -379,8 +380,10 @@
 		Report: func(r Result) { g.notify(attemptEnded{id, n, r}) }})
 }
 
+// CancelAttempt cancels the attempt in flight.
 func (g effects) CancelAttempt(c *call) { c.Request.cancel() }
 
+// Finish gives the client the final answer of the module.
 func (g effects) Finish(c *call, refused bool, retryAfter time.Duration) {
 	a := exchange.Answer{Status: exchange.Failed, Attempts: c.Attempt() + 1}
 	if refused {
@@ -392,6 +395,7 @@
 	}
 }
 
+// Do passes on an action that belongs to no call.
 func (g effects) Do(a logic.Action) {
 	switch a := a.(type) {
 	case logic.Close:
@@ -408,7 +412,7 @@
 			a = g.rules.view.Vote(a, g.rules.conduct)
 		}
 		g.outputs.Platform.Vote(a)
-	case logic.Watch: // the watch of discovery always stands or is being renewed
+	case logic.Watch: // nothing to do: the watch of discovery is always open or being reopened
 	case logic.Log:
 		g.log.Info(a.Text)
 	default:
@@ -416,4 +420,5 @@
 	}
 }
 
+// ReportStray counts an action for a call that does not exist or is not in a state for it.
 func (g effects) ReportStray(logic.Action) { g.count.Inc("loop.stray_actions") }
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -11,27 +11,27 @@
 	"merlinarch/logic"
 )
 
-// rules is what the loop keeps for the agreed rules: discovery's list and the platform's news as they came, and the view
-// that narrows them. The module hears of a cordon as it hears of a drain.
+// rules is the loop's state for the agreed rules: the servers and the release status as received, and the view of the
+// rules that restricts them. The module sees a cordoned server as a draining one.
 type rules struct {
 	view         *ruleset.View
 	conduct      lease.Permission
-	hosts        map[logic.ServerID]Host          // as listed
-	liftedAt     map[logic.ServerID]time.Duration // when the cordon of this life was lifted: it counts as started then
-	lastStatus   *logic.ReleaseStatus             // the platform's latest; nil: none yet
-	lastStatusAt time.Duration                    // when it came
+	hosts        map[logic.ServerID]Host          // as discovery lists them
+	liftedAt     map[logic.ServerID]time.Duration // when the cordon of this incarnation was lifted; it counts as started then
+	lastStatus   *logic.ReleaseStatus             // latest from the platform; nil: none yet
+	lastStatusAt time.Duration                    // when it was received
 	fleet        *Fleet
 }
 
-// ruled is a version of the rules, or another conduct.
+// rulesUpdated brings a version of the rules, or a changed permission to send.
 type rulesUpdated struct {
 	view    *ruleset.View
 	conduct lease.Permission
-	applied chan struct{} // closed once the module knows
+	applied chan struct{} // closed once the module has been updated
 }
 
-// UseRules has the gateway keep to agreed rules; until the first version comes, nothing may be sent. It has to be called
-// before Run. The Fleet is what dispatchers tell their registrars of the servers.
+// UseRules makes the gateway follow agreed rules; until their first version is received, nothing may be sent. It must be
+// called before Run. The Fleet that it returns collects what the registrars are told about the servers.
 func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
 	f := newFleet(g.clock, coldTime)
 	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.None, hosts: map[logic.ServerID]Host{},
@@ -39,7 +39,7 @@
 	return f
 }
 
-// Ruled brings a version of the rules, or another conduct, and returns once the module knows of it.
+// UpdateRules applies a version of the rules, or a changed permission to send, and returns once the module has it.
 func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, c lease.Permission) error {
 	e := rulesUpdated{v, c, make(chan struct{})}
 	if err := g.post(e); err != nil {
@@ -55,7 +55,8 @@
 	}
 }
 
-// list takes discovery's news, narrowed by the rules. The pool hears first, so that sends find the addresses.
+// applyServers gives a list of servers to the connection pool and the module, restricted by the agreed rules. The pool
+// gets it first, so that it knows the address of each server that the module may choose.
 func (g *Gateway) applyServers(e serversUpdated) {
 	if r := g.rules; r != nil && !e.event.Failed {
 		r.storeHosts(e)
@@ -70,7 +71,7 @@
 	g.ready.Store(g.serversKnown && g.releaseKnown)
 }
 
-// keep notes a list as it came.
+// storeHosts stores a list, or changes to it, as received.
 func (r *rules) storeHosts(e serversUpdated) {
 	present := map[logic.ServerID]bool{}
 	for _, h := range e.hosts {
@@ -92,8 +93,8 @@
 	r.fleet.setHosts(r.hosts)
 }
 
-// narrow is a listed server as the rules let it be seen. One whose cordon was lifted comes back as one that has just
-// started does, so that all dispatchers together keep to its warm-up.
+// applyToHost returns a listed server as the rules restrict it. One whose cordon was lifted counts as started at that
+// time, so that all dispatchers together apply slow start to it.
 func (r *rules) applyToHost(h Host, clock Clock) Host {
 	if at := clock.FromUnix(float64(r.view.LiftedAt(h.Name))); at > h.Started && at > r.liftedAt[h.ID] {
 		r.liftedAt[h.ID] = at
@@ -103,7 +104,7 @@
 	return h
 }
 
-// release narrows the platform's news.
+// applyToRelease stores a release status and returns it as the rules restrict it.
 func (r *rules) applyToRelease(e logic.ReleaseStatus, now time.Duration) logic.ReleaseStatus {
 	if !e.IsReply || e.Reply == logic.VoteCounted {
 		status := e
@@ -113,8 +114,9 @@
 	return r.view.Release(e, r.conduct)
 }
 
-// rule takes a version in, or another conduct: what it changes for servers, for the build on trial, for shares and worths
-// reaches the module, and what waits unsent while nothing may be sent is refused at once.
+// applyRules applies a version of the rules, or a changed permission to send. It updates the module where servers, the
+// build on trial, tenants' shares or classes' worths change. Without permission to send, it refuses all requests of which
+// no attempt was made yet.
 func (g *Gateway) applyRules(e rulesUpdated) {
 	r := g.rules
 	before := maps.Clone(r.hosts)
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -8,17 +8,17 @@
 	"merlinarch/logic"
 )
 
-// timer is one that the module has set.
+// timer is a timer that the module has set.
 type timer struct {
 	at    time.Duration
-	order uint64 // of setting, among timers of one time
+	order uint64 // order of setting, for timers due at the same time
 	token uint64
 }
 
-// timers is a queue of timers by time. It implements heap.Interface.
+// timers is a priority queue of timers by due time. It implements heap.Interface.
 type timers struct {
 	list     []timer
-	setCount uint64 // how often one was set
+	setCount uint64 // timers set so far
 }
 
 func (t *timers) Len() int { return len(t.list) }
@@ -34,13 +34,13 @@
 	return last
 }
 
-// set adds a timer.
+// add adds a timer that is due at the given time.
 func (t *timers) add(at time.Duration, token uint64) {
 	t.setCount++
 	heap.Push(t, timer{at, t.setCount, token})
 }
 
-// due takes the first timer whose time has come.
+// popDue removes and returns the first timer that is due at now, if there is one.
 func (t *timers) popDue(now time.Duration) (timer, bool) {
 	if len(t.list) == 0 || t.list[0].at > now {
 		return timer{}, false
@@ -48,7 +48,7 @@
 	return heap.Pop(t).(timer), true
 }
 
-// next is when something is due; far off where nothing is.
+// nextDue returns when the next timer is due, or the largest time if there is none.
 func (t *timers) nextDue() time.Duration {
 	if len(t.list) == 0 {
 		return math.MaxInt64
@@ -60,5 +60,5 @@
 	logic.Rejected: "rejected", logic.TimedOut: "timed_out", logic.ConnectFailed: "connect_failed",
 	logic.Reset: "reset", logic.Cancelled: "cancelled", logic.NotSent: "not_sent"}
 
-// outcomeName is an outcome's name in counters.
+// outcomeName returns the name of an outcome in counters.
 func outcomeName(o logic.Outcome) string { return outcomeNames[o] }
