--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -89,7 +89,7 @@
 	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.LeaseTerms(),
 		Budget: cordon.Budget{Share: a.Budget}, Cold: a.ColdTime, Planned: a.ScheduleSettings(),
 		Unix: func() time.Time { return time.Now().Add(a.ClockStep) }, Clock: accord.Clock{Rate: a.ClockRate},
-		Auto: cordon.Auto{Agreeing: a.Auto.MinAgreeing, Most: a.Auto.MaxCordons, Share: a.Auto.ErrorShare, Least: a.Auto.MinAnswers}}, nil
+		Auto: cordon.AutoPolicy{MinDispatchers: a.Auto.MinAgreeing, MaxCordons: a.Auto.MaxCordons, ErrorShare: a.Auto.ErrorShare, MinAnswers: a.Auto.MinAnswers}}, nil
 }
 
 func initCommand() *cobra.Command {
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -26,18 +26,18 @@
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
 
-	Ask      *ruleset.Ask `json:"ask,omitempty"`
-	Enrol    *Enrol       `json:"enrol,omitempty"`
-	Activate *Activate    `json:"open,omitempty"`
-	Confirm  *Confirm     `json:"confirm,omitempty"`
-	Forget   *Forget      `json:"forget,omitempty"`
-	Retire   *Retire      `json:"retire,omitempty"`
-	Elapsed  *Elapsed     `json:"passed,omitempty"`
-	Observed *Observed    `json:"seen,omitempty"`
-	Claim    *Claim       `json:"claim,omitempty"`
-	Outcome  *Outcome     `json:"ended,omitempty"`
-	Reclaim  *Reclaim     `json:"vacate,omitempty"`
-	Drop     *Drop        `json:"drop,omitempty"`
+	Ask      *ruleset.ChangeRequest `json:"ask,omitempty"`
+	Enrol    *Enrol                 `json:"enrol,omitempty"`
+	Activate *Activate              `json:"open,omitempty"`
+	Confirm  *Confirm               `json:"confirm,omitempty"`
+	Forget   *Forget                `json:"forget,omitempty"`
+	Retire   *Retire                `json:"retire,omitempty"`
+	Elapsed  *Elapsed               `json:"passed,omitempty"`
+	Observed *Observed              `json:"seen,omitempty"`
+	Claim    *Claim                 `json:"claim,omitempty"`
+	Outcome  *Outcome               `json:"ended,omitempty"`
+	Reclaim  *Reclaim               `json:"vacate,omitempty"`
+	Drop     *Drop                  `json:"drop,omitempty"`
 }
 
 // Enrol gives a life to a dispatcher.
@@ -90,14 +90,14 @@
 
 // State is the whole record.
 type State struct {
-	Book            *ruleset.Book            `json:"book"`
+	Book            *ruleset.State           `json:"book"`
 	Members         map[string]lease.Member  `json:"members"`
 	LastIncarnation uint64                   `json:"lives"` // the number of the last one given
 	Confirmed       map[string]Confirmation  `json:"confirmed"`
 	CordonVersions  map[string]uint64        `json:"agreed"` // by cordon: the version that brought it
 	Retired         map[string]Retire        `json:"retired,omitempty"`
 	RemainingMs     map[string]int64         `json:"left,omitempty"` // by cordon that expires: ms until then
-	Contacts        *contact.Sites           `json:"contacts"`
+	Contacts        *contact.Forecaster      `json:"contacts"`
 	Dispatches      map[string]DispatchState `json:"work,omitempty"` // by dispatch
 	LastFence       uint64                   `json:"fence"`          // of the latest claim
 
@@ -145,7 +145,7 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	if s.Book == nil || s.Contacts == nil || !s.Book.Document.Genuine() {
+	if s.Book == nil || s.Contacts == nil || !s.Book.Document.HasValidHash() {
 		return nil, errors.New("record: not whole")
 	}
 	return s, nil
@@ -165,7 +165,7 @@
 	before := s.Book.Document.Head.Version
 	r := s.apply(e, term)
 	if s.Book.Document.Head.Version != before {
-		step := s.Book.Last()
+		step := s.Book.LastStep()
 		r.Step = &step
 		s.follow()
 	}
@@ -180,12 +180,12 @@
 	}
 	switch {
 	case e.Ask != nil:
-		a := s.Book.Ask(*e.Ask, e.At)
+		a := s.Book.Submit(*e.Ask, e.At)
 		return Result{Answer: a, Refused: a.Refused}
 	case e.Enrol != nil:
 		return s.enrol(*e.Enrol)
 	case e.Activate != nil:
-		if err := s.Book.Open(e.Activate.Version, e.At); err != nil {
+		if err := s.Book.Activate(e.Activate.Version, e.At); err != nil {
 			return Result{Refused: err.Error()}
 		}
 	case e.Confirm != nil:
@@ -240,7 +240,7 @@
 // enrol gives a dispatcher its life. Danger: a process that was killed and comes back under its name may meet a lease
 // of its earlier life that still stands somewhere; that life is waited for like a dispatcher of its own.
 func (s *State) enrol(e Enrol) Result {
-	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxText || len(e.Token) > ruleset.MaxText || len(e.KnownKinds) > 64 ||
+	if e.Name == "" || e.Token == "" || len(e.Name) > ruleset.MaxTextBytes || len(e.Token) > ruleset.MaxTextBytes || len(e.KnownKinds) > 64 ||
 		e.Mode != lease.Hold && e.Mode != lease.Serve {
 		return Result{Refused: "expected a name, a token and a mode"}
 	}
@@ -266,7 +266,7 @@
 
 // lifting tells whether a cordon's lifting is agreed and waits.
 func (s *State) lifting(id string) bool {
-	return slices.ContainsFunc(s.Book.Document.Waiting, func(w ruleset.Waiting) bool {
+	return slices.ContainsFunc(s.Book.Document.Pending, func(w ruleset.PendingChange) bool {
 		return w.Change.Kind == ruleset.KindLift && w.Change.Name == id
 	})
 }
@@ -292,12 +292,12 @@
 			s.CordonVersions[id] = d.Head.Version
 		}
 	}
-	for _, c := range s.Book.Last().Changes { // also one that stands already and is asked for again
+	for _, c := range s.Book.LastStep().Changes { // also one that stands already and is asked for again
 		if c.Kind != ruleset.KindCordon {
 			continue
 		}
-		if delete(s.RemainingMs, c.Cordon.ID()); c.For > 0 {
-			s.RemainingMs[c.Cordon.ID()] = c.For
+		if delete(s.RemainingMs, c.Cordon.ID()); c.DurationMs > 0 {
+			s.RemainingMs[c.Cordon.ID()] = c.DurationMs
 		}
 	}
 }
@@ -305,7 +305,7 @@
 // Cordon is how far one has got.
 type CordonStatus struct {
 	ID string `json:"id"`
-	cordon.Order
+	cordon.Cordon
 	Version    uint64            `json:"version"` // that brought it
 	State      cordon.State      `json:"state"`
 	Confirmed  *Confirmation     `json:"confirmed,omitempty"`
@@ -317,10 +317,10 @@
 // Watch is what a leader knows at a moment, beside the record.
 type LeaderView struct {
 	Leases      *lease.Tracker
-	Now         time.Duration              // on the leader's clock
-	ListServers func() []cordon.Server     // as the dispatchers list them, pooled
-	Reports     map[string][]cordon.Report // by dispatcher: its evidence on servers, of late
-	AutoCordon  cordon.Auto
+	Now         time.Duration                // on the leader's clock
+	ListServers func() []cordon.Server       // as the dispatchers list them, pooled
+	Reports     map[string][]cordon.Evidence // by dispatcher: its evidence on servers, of late
+	AutoCordon  cordon.AutoPolicy
 	SiteStates  map[string]contact.State // by site: what the dispatchers met there of late, pooled
 	UnixMs      int64                    // ms
 	Schedule    schedule.Settings
@@ -331,7 +331,7 @@
 func (s *State) Cordons(w LeaderView) []CordonStatus {
 	var out []CordonStatus
 	for _, id := range slices.Sorted(maps.Keys(s.Book.Document.Rules.Cordons)) {
-		c := CordonStatus{ID: id, Order: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Reaching, Total: s.living()}
+		c := CordonStatus{ID: id, Cordon: s.Book.Document.Rules.Cordons[id], Version: s.CordonVersions[id], State: cordon.Propagating, Total: s.living()}
 		c.Stragglers = w.Leases.Stragglers(w.Now, s.Members, c.Version)
 		c.Reached = c.Total
 		for _, m := range c.Stragglers {
@@ -369,11 +369,11 @@
 	var out []Entry
 	d := &s.Book.Document
 	for _, c := range s.Cordons(w) {
-		if c.State == cordon.Reaching && len(c.Stragglers) == 0 {
+		if c.State == cordon.Propagating && len(c.Stragglers) == 0 {
 			out = append(out, Entry{Confirm: &Confirm{Cordon: c.ID, Version: c.Version, Total: c.Total, Lapsed: s.lapsed(w, c.Version)}})
 		}
 	}
-	if v := s.Book.Ready(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
+	if v := s.Book.NewestPending(); v > 0 && !slices.ContainsFunc(w.Leases.Stragglers(w.Now, s.Members, v), func(m lease.Straggler) bool {
 		return m.Remaining > 0 // who serves without a lease keeps to the last version it heard, and nobody waits for it here
 	}) {
 		out = append(out, Entry{Activate: &Activate{Version: v}})
@@ -386,19 +386,19 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.RemainingMs)) {
 		if s.RemainingMs[id] == 0 && !s.lifting(id) {
-			out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), Base: d.Head.Version,
+			out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("expire %s %d", id, s.CordonVersions[id]), BaseVersion: d.Head.Version,
 				Author: "registrar", Reason: "its time is over", Changes: []ruleset.Change{{Kind: ruleset.KindLift, Name: id}}}})
 			break // the next one rests on the version that this makes
 		}
 	}
 	out = append(out, s.dueWork(w)...)
-	for _, host := range w.AutoCordon.Suspects(w.Reports, d.Rules.Cordons) {
-		if s.Book.Budget.Judge(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
+	for _, host := range w.AutoCordon.Outliers(w.Reports, d.Rules.Cordons) {
+		if s.Book.Budget.Check(cordon.Target{Host: host}, d.Rules.Cordons, w.ListServers()) != nil {
 			continue // it would be refused, again and again
 		}
-		out = append(out, Entry{Ask: &ruleset.Ask{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), Base: d.Head.Version,
+		out = append(out, Entry{Ask: &ruleset.ChangeRequest{Key: fmt.Sprintf("auto %s %d", host, d.Head.Version), BaseVersion: d.Head.Version,
 			Author: "registrar", Reason: "dispatchers agree that it fails", Evidence: w.ListServers(),
-			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Auto: true}}}})
+			Changes: []ruleset.Change{{Kind: ruleset.KindCordon, Cordon: &cordon.Target{Host: host}, Automatic: true}}}})
 		break
 	}
 	return out
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -58,7 +58,7 @@
 // Planned are the settings of planned work.
 func (a Accord) ScheduleSettings() schedule.Settings {
 	s := schedule.DefaultSettings()
-	s.Room, s.Cold = a.DispatchLimit, a.ColdTime
+	s.MaxInFlight, s.ColdPeriod = a.DispatchLimit, a.ColdTime
 	return s
 }
 
@@ -112,7 +112,7 @@
 	t := lease.DefaultTerms()
 	return Features{Ledger: Ledger{Period: time.Hour, Grace: time.Minute, OnFailure: "refuse"},
 		Accord: Accord{WithoutLease: string(lease.Hold), Lease: t.Length, Beat: t.Beat, Send: t.Send, Drift: t.Drift,
-			Budget: cordon.DefaultBudget().Share, ColdTime: time.Minute, DispatchLimit: schedule.DefaultSettings().Room, Auto: AutoCordon{ErrorShare: 0.5, MinAnswers: 20, MaxCordons: 1}}}
+			Budget: cordon.DefaultBudget().Share, ColdTime: time.Minute, DispatchLimit: schedule.DefaultSettings().MaxInFlight, Auto: AutoCordon{ErrorShare: 0.5, MinAnswers: 20, MaxCordons: 1}}}
 }
 
 // Load reads a file, which read makes an object of; without a path everything is off. A wrong file is a
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -22,12 +22,12 @@
 
 	mu           sync.Mutex
 	hosts        map[logic.ServerID]Host
-	reports      map[logic.ServerID]cordon.Report // since the last TakeReports
-	siteEvidence map[string]contact.Evidence      // by site, since the last TakeSiteEvidence
+	reports      map[logic.ServerID]cordon.Evidence // since the last TakeReports
+	siteEvidence map[string]contact.Evidence        // by site, since the last TakeSiteEvidence
 }
 
 func newFleet(clock Clock, coldTime time.Duration) *Fleet {
-	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Report{}, siteEvidence: map[string]contact.Evidence{}}
+	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Evidence{}, siteEvidence: map[string]contact.Evidence{}}
 }
 
 // setHosts replaces the list of servers.
@@ -56,7 +56,7 @@
 	case o == logic.OK || o == logic.ServerError || o == logic.Rejected || result.ConnRefused:
 		e.Answered++
 	case o == logic.TimedOut || o == logic.ConnectFailed:
-		e.Silent++
+		e.Unanswered++
 	}
 	f.siteEvidence[h.Zone] = e
 	if o != logic.OK && o != logic.ServerError {
@@ -66,7 +66,7 @@
 	r.Host = h.Name
 	r.Answered++
 	if o == logic.ServerError {
-		r.Erred++
+		r.Errors++
 	}
 	f.reports[id] = r
 }
@@ -78,7 +78,7 @@
 	now := f.clock.Now()
 	for _, h := range f.hosts {
 		servers = append(servers, cordon.Server{Host: h.Name, Born: h.StartedUnixMs, Site: h.Zone, Class: h.MachineClass, Build: int(h.Build),
-			Weight: h.Weight, Out: h.State != logic.Ready || h.Started > 0 && now < h.Started+f.coldTime})
+			Weight: h.Weight, OutOfService: h.State != logic.Ready || h.Started > 0 && now < h.Started+f.coldTime})
 	}
 	slices.SortFunc(servers, func(a, b cordon.Server) int { return cmp.Compare(a.Host, b.Host) })
 	h := fnv.New64a()
@@ -100,14 +100,14 @@
 }
 
 // TakeReports returns the counts of each server since the last call, and resets them.
-func (f *Fleet) TakeReports() []cordon.Report {
+func (f *Fleet) TakeReports() []cordon.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := []cordon.Report{}
+	out := []cordon.Evidence{}
 	for _, r := range f.reports {
 		out = append(out, r)
 	}
 	clear(f.reports)
-	slices.SortFunc(out, func(a, b cordon.Report) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(out, func(a, b cordon.Evidence) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -235,7 +235,7 @@
 		}
 		select {
 		case e := <-g.events:
-			g.count.Worst("loop.worst_wait_us", time.Since(e.postedAt))
+			g.count.RecordMax("loop.worst_wait_us", time.Since(e.postedAt))
 			g.handle(e.payload)
 		case <-wake.C:
 			armedFor = 0
@@ -255,7 +255,7 @@
 		if !ok {
 			return
 		}
-		g.count.Worst("loop.worst_lateness_us", now-t.at)
+		g.count.RecordMax("loop.worst_lateness_us", now-t.at)
 		if now-t.at > 100*time.Millisecond {
 			g.count.Inc("loop.late_ticks")
 		}
@@ -409,7 +409,7 @@
 		g.outputs.Peers.Post(a)
 	case logic.Vote:
 		if g.rules != nil {
-			a = g.rules.view.Vote(a, g.rules.conduct)
+			a = g.rules.view.RestrictVote(a, g.rules.conduct)
 		}
 		g.outputs.Platform.Vote(a)
 	case logic.Watch: // nothing to do: the watch of discovery is always open or being reopened
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -100,7 +100,7 @@
 		r.liftedAt[h.ID] = at
 	}
 	h.Started = max(h.Started, r.liftedAt[h.ID])
-	h.State = r.view.State(h.Name, h.StartedUnixMs, h.State)
+	h.State = r.view.RestrictState(h.Name, h.StartedUnixMs, h.State)
 	return h
 }
 
@@ -111,7 +111,7 @@
 		status.IsReply = false
 		r.lastStatus, r.lastStatusAt = &status, now
 	}
-	return r.view.Release(e, r.conduct)
+	return r.view.RestrictRelease(e, r.conduct)
 }
 
 // applyRules applies a version of the rules, or a changed permission to send. It updates the module where servers, the
@@ -137,7 +137,7 @@
 		g.feed(event)
 	}
 	if r.lastStatus != nil && r.lastStatus.Phase == logic.OnTrial {
-		if now := r.view.Release(*r.lastStatus, r.conduct); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
+		if now := r.view.RestrictRelease(*r.lastStatus, r.conduct); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
 			status := *r.lastStatus
 			status.StageAge += g.clock.Now() - r.lastStatusAt
 			g.applyRelease(status)
