--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -371,13 +371,13 @@
 	if timeout > 0 && now.Add(timeout).Before(deadline) {
 		deadline = now.Add(timeout)
 	}
-	id, n, leaveBy := c.ID, c.Attempt(), time.Time{}
+	id, attempt, sendBy := c.ID, c.Attempt(), time.Time{}
 	if c.SendBy > 0 {
-		leaveBy = g.clock.Time(c.SendBy)
+		sendBy = g.clock.Time(c.SendBy)
 	}
 	g.count.Inc("attempts.sent")
-	c.Request.cancel = g.outputs.Servers.Start(Attempt{Exchange: c.Request.ex, Server: c.Server, DecidedAt: now, Deadline: deadline, SendBy: leaveBy, ForwardOnly: c.ForwardOnly,
-		Report: func(r Result) { g.notify(attemptEnded{id, n, r}) }})
+	c.Request.cancel = g.outputs.Servers.Start(Attempt{Exchange: c.Request.ex, Server: c.Server, DecidedAt: now, Deadline: deadline, SendBy: sendBy, ForwardOnly: c.ForwardOnly,
+		Report: func(r Result) { g.notify(attemptEnded{id, attempt, r}) }})
 }
 
 // CancelAttempt cancels the attempt in flight.
@@ -409,7 +409,7 @@
 		g.outputs.Peers.Post(a)
 	case logic.Vote:
 		if g.rules != nil {
-			a = g.rules.view.RestrictVote(a, g.rules.conduct)
+			a = g.rules.view.RestrictVote(a, g.rules.permission)
 		}
 		g.outputs.Platform.Vote(a)
 	case logic.Watch: // nothing to do: the watch of discovery is always open or being reopened
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -15,7 +15,7 @@
 // rules that restricts them. The module sees a cordoned server as a draining one.
 type rules struct {
 	view         *ruleset.View
-	conduct      lease.Permission
+	permission   lease.Permission
 	hosts        map[logic.ServerID]Host          // as discovery lists them
 	liftedAt     map[logic.ServerID]time.Duration // when the cordon of this incarnation was lifted; it counts as started then
 	lastStatus   *logic.ReleaseStatus             // latest from the platform; nil: none yet
@@ -25,23 +25,23 @@
 
 // rulesUpdated brings a version of the rules, or a changed permission to send.
 type rulesUpdated struct {
-	view    *ruleset.View
-	conduct lease.Permission
-	applied chan struct{} // closed once the module has been updated
+	view       *ruleset.View
+	permission lease.Permission
+	applied    chan struct{} // closed once the module has been updated
 }
 
 // UseRules makes the gateway follow agreed rules; until their first version is received, nothing may be sent. It must be
 // called before Run. The Fleet that it returns collects what the registrars are told about the servers.
 func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
 	f := newFleet(g.clock, coldTime)
-	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), conduct: lease.None, hosts: map[logic.ServerID]Host{},
+	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), permission: lease.None, hosts: map[logic.ServerID]Host{},
 		liftedAt: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
 }
 
 // UpdateRules applies a version of the rules, or a changed permission to send, and returns once the module has it.
-func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, c lease.Permission) error {
-	e := rulesUpdated{v, c, make(chan struct{})}
+func (g *Gateway) UpdateRules(ctx context.Context, v *ruleset.View, permission lease.Permission) error {
+	e := rulesUpdated{v, permission, make(chan struct{})}
 	if err := g.post(e); err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 		status.IsReply = false
 		r.lastStatus, r.lastStatusAt = &status, now
 	}
-	return r.view.RestrictRelease(e, r.conduct)
+	return r.view.RestrictRelease(e, r.permission)
 }
 
 // applyRules applies a version of the rules, or a changed permission to send. It updates the module where servers, the
@@ -123,7 +123,7 @@
 	for id, h := range before {
 		before[id] = r.applyToHost(h, g.clock)
 	}
-	r.view, r.conduct = e.view, e.conduct
+	r.view, r.permission = e.view, e.permission
 	var changed []Host
 	event := logic.ServersListed{}
 	for id, h := range r.hosts {
@@ -137,7 +137,7 @@
 		g.feed(event)
 	}
 	if r.lastStatus != nil && r.lastStatus.Phase == logic.OnTrial {
-		if now := r.view.RestrictRelease(*r.lastStatus, r.conduct); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
+		if now := r.view.RestrictRelease(*r.lastStatus, r.permission); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
 			status := *r.lastStatus
 			status.StageAge += g.clock.Now() - r.lastStatusAt
 			g.applyRelease(status)
@@ -145,7 +145,7 @@
 	}
 	d := r.view.Document.Rules
 	g.router.SetSharesAndWorths(d.Tenants, d.Worth)
-	if r.conduct != lease.None {
+	if r.permission != lease.None {
 		return
 	}
 	for ex, c := range g.calls {
