--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,5 +1,5 @@
-// Package features reads the file of settings for what the product has beyond the users' platform: everything is
-// off without it. The platform's own configuration is in package config.
+// Package features reads the further settings of the program (--settings): the usage ledger and the accord. Without such a
+// file both are off. The configuration that the users' platform gives (LB_CONFIG) is read by package config.
 package features
 
 import (
@@ -14,55 +14,56 @@
 	"merlinarch/internal/template"
 )
 
-// Features is what a file may switch on; each subsystem has a field of its own.
+// Features are the settings of the optional subsystems, each in a field of its own.
 type Features struct {
 	Ledger Ledger `json:"ledger"`
 	Accord Accord `json:"accord"`
 }
 
-// Accord is the cluster of registrars that keeps the agreed rules; the same for them, the dispatchers and the commands.
+// Accord holds the settings of the accord: a Raft group of registrars that replicates the agreed rules, and dispatchers (the
+// gateways) that hold read leases on them. Registrars, dispatchers and commands read the same settings.
 type Accord struct {
-	Cluster       string            `json:"cluster"`    // empty: off
-	Registrars    map[string]string `json:"registrars"` // addresses by name
-	Listen        string            `json:"listen"`     // of a registrar; empty: its address above
-	WithoutLease  string            `json:"without_lease"`
-	Lease         time.Duration     `json:"lease"`
-	LongestLease  time.Duration     `json:"longest_lease"` // empty: the lease
-	Beat          time.Duration     `json:"beat"`
-	Send          time.Duration     `json:"send"`
-	Drift         float64           `json:"drift"`
-	Budget        float64           `json:"budget"` // of a site's and build's capacity that may be cordoned, draining, lost or cold together
-	ColdTime      time.Duration     `json:"cold"`   // a server whose cordon was lifted is cold for so long
+	Cluster       string            `json:"cluster"`       // name of the cluster; empty: the accord is off
+	Registrars    map[string]string `json:"registrars"`    // addresses of the registrars by name
+	Listen        string            `json:"listen"`        // address on which a registrar listens; empty: its address in Registrars
+	WithoutLease  string            `json:"without_lease"` // what a dispatcher without a lease does: hold or serve
+	Lease         time.Duration     `json:"lease"`         // length of a lease
+	LongestLease  time.Duration     `json:"longest_lease"` // the most that a lease may grow to; empty: Lease
+	Beat          time.Duration     `json:"beat"`          // time between a dispatcher's heartbeats
+	Send          time.Duration     `json:"send"`          // from the check of a lease until an attempt's last byte is with the kernel
+	Drift         float64           `json:"drift"`         // clocks run at a rate from 1-Drift to 1+Drift of true time
+	Budget        float64           `json:"budget"`        // share of the weight of one build at one site that may be cordoned, draining, lost or cold at a time
+	ColdTime      time.Duration     `json:"cold"`          // how long a server counts as cold after its cordon was lifted
 	Auto          AutoCordon        `json:"auto"`
-	DispatchLimit int               `json:"dispatch_room"` // tries of planned work that may be out at one warm site together
-	ClockStep     time.Duration     `json:"clock_step"`    // by which the wall clock is off; for tests
-	ClockRate     float64           `json:"clock_rate"`    // of the clock that leases are counted on; for tests
+	DispatchLimit int               `json:"dispatch_room"` // attempts of dispatches (planned work) that may be in flight at one warm site
+	ClockStep     time.Duration     `json:"clock_step"`    // error of the wall clock; for tests
+	ClockRate     float64           `json:"clock_rate"`    // rate of the clock that leases are measured with; for tests
 }
 
-// Auto cordons servers by the dispatchers' own evidence.
+// AutoCordon holds the settings by which registrars cordon servers on the evidence of the dispatchers.
 type AutoCordon struct {
-	MinAgreeing int     `json:"agreeing"` // dispatchers that have to see the same; 0: off
-	MaxCordons  int     `json:"most"`     // such cordons that may stand together
-	ErrorShare  float64 `json:"share"`    // of a server's answers that are errors
-	MinAnswers  int     `json:"least"`    // answers that a dispatcher needs
+	MinAgreeing int     `json:"agreeing"` // dispatchers whose evidence has to agree; 0: off
+	MaxCordons  int     `json:"most"`     // automatic cordons that may be in force at a time
+	ErrorShare  float64 `json:"share"`    // share of a server's answers that have to be errors
+	MinAnswers  int     `json:"least"`    // answers that a dispatcher needs as evidence
 }
 
-// On tells whether there is an accord.
+// Enabled reports whether the accord is on.
 func (a Accord) Enabled() bool { return a.Cluster != "" }
 
-// Terms are those of the leases.
+// LeaseTerms returns the terms of the leases.
 func (a Accord) LeaseTerms() lease.Terms {
 	return lease.Terms{Length: a.Lease, Longest: max(a.Lease, a.LongestLease), Beat: a.Beat, Send: a.Send, Drift: a.Drift}
 }
 
-// Planned are the settings of planned work.
+// ScheduleSettings returns the settings for scheduling dispatches.
 func (a Accord) ScheduleSettings() schedule.Settings {
 	s := schedule.DefaultSettings()
 	s.MaxInFlight, s.ColdPeriod = a.DispatchLimit, a.ColdTime
 	return s
 }
 
-// check finds what is wrong; the path is of the field.
+// check returns the key and a description of the first invalid setting; the text is empty if all are valid.
 func (a Accord) check() (key, text string) {
 	if !a.Enabled() {
 		if len(a.Registrars) > 0 {
@@ -99,15 +100,15 @@
 	return "", ""
 }
 
-// Ledger counts use by tenant on a disk that lasts.
+// Ledger holds the settings of the usage ledger, which counts use by tenant on a durable disk.
 type Ledger struct {
-	File      string        `json:"file"`       // empty: off
-	Period    time.Duration `json:"period"`     // length of a period, counted from the Unix epoch
-	Grace     time.Duration `json:"grace"`      // a period closes so long after its end
-	OnFailure string        `json:"on_failure"` // refuse: nothing new is taken while the disk fails; serve: it is, uncounted
+	File      string        `json:"file"`       // path of the ledger's file; empty: the ledger is off
+	Period    time.Duration `json:"period"`     // length of a period; periods are counted from the Unix epoch
+	Grace     time.Duration `json:"grace"`      // time from the end of a period until it closes
+	OnFailure string        `json:"on_failure"` // while the disk fails: refuse new requests, or serve them uncounted
 }
 
-// Default is everything off.
+// Default returns the default settings, with every subsystem off.
 func Default() Features {
 	t := lease.DefaultTerms()
 	return Features{Ledger: Ledger{Period: time.Hour, Grace: time.Minute, OnFailure: "refuse"},
@@ -115,8 +116,8 @@
 			Budget: cordon.DefaultBudget().Share, ColdTime: time.Minute, DispatchLimit: schedule.DefaultSettings().MaxInFlight, Auto: AutoCordon{ErrorShare: 0.5, MinAnswers: 20, MaxCordons: 1}}}
 }
 
-// Load reads a file, which read makes an object of; without a path everything is off. A wrong file is a
-// *template.Error.
+// Load reads the file at path with read, which returns its content as an object. Without a path it returns the defaults.
+// The error for an invalid file is a *template.Error.
 func Load(path string, read func(path string) (map[string]any, error)) (Features, error) {
 	f := Default()
 	if path == "" {
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -6,7 +6,7 @@
 	"merlinarch/logic"
 )
 
-// Encode gives settings in the form that Decode reads, for JSON.
+// Encode returns the settings in the form that Decode reads, ready to be marshalled to JSON.
 func Encode(s logic.Settings) map[string]any {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	nameOf := func(names map[string]logic.Repeatability, r logic.Repeatability) string {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"merlinarch/logic"
 )
 
-// What Encode writes, Decode reads as it was.
+// Decode restores the settings that Encode writes.
 func TestEncodeDecode(t *testing.T) {
 	want := logic.Settings{Self: 2, RouterCount: 5, Zone: "a", MaxAttempts: 6, MaxOpenRequests: 77, MaxRetryAfter: 500 * time.Millisecond,
 		MarksRetry: true, CanProbe: true, CanPost: true, CanCancel: true, WatchDiscovery: true, WatchWithin: time.Second,
--- a/internal/template/jsonnet/jsonnet.go
+++ b/internal/template/jsonnet/jsonnet.go
@@ -1,4 +1,4 @@
-// Package jsonnet evaluates templates of settings in Jsonnet, of which plain JSON is a part, to objects.
+// Package jsonnet evaluates settings files written in Jsonnet, a superset of JSON, to objects.
 package jsonnet
 
 import (
@@ -12,14 +12,14 @@
 	"merlinarch/internal/template"
 )
 
-// maxFile bounds a file's size in bytes; maxStack the depth of its calls. Danger: a file that builds itself
-// without end takes all the memory.
+// Limits of a file. Without a limit on call depth, a file with endless recursion would take all memory.
 const (
 	maxFileBytes  = 1 << 20
 	maxStackDepth = 200
 )
 
-// Text evaluates a file to the text of JSON; imports are resolved beside it. A wrong file is a *template.Error.
+// Evaluate evaluates a file to JSON text; imports are resolved relative to it. The error for an invalid file is a
+// *template.Error.
 func Evaluate(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return text, evaluationError(path, err)
 }
 
-// Load evaluates a file to an object.
+// Load evaluates a file to an object, with errors as Evaluate returns them.
 func Load(path string) (map[string]any, error) {
 	text, err := Evaluate(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return template.ParseObject(path, text)
 }
 
-// Parse evaluates a text as Load does a file; imports are refused.
+// Parse evaluates text as Load does a file, but does not allow imports; errors give name as the file.
 func Parse(name, text string) (map[string]any, error) {
 	if len(text) > maxFileBytes {
 		return nil, &template.Error{File: name, Text: fmt.Sprintf("expected at most %d bytes", maxFileBytes)}
@@ -58,7 +58,7 @@
 	return template.ParseObject(name, out)
 }
 
-// wrong tells the first line of what the evaluation failed with.
+// evaluationError returns a *template.Error with the first line of an error of the evaluation, or nil if err is nil.
 func evaluationError(file string, err error) error {
 	if err == nil {
 		return nil
--- a/internal/template/jsonnet/jsonnet_test.go
+++ b/internal/template/jsonnet/jsonnet_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Whatever is wrong is told in one line with file, path and what was expected.
+// Each error is a single line with the file, the path and what was expected.
 func TestErrorsNameFileAndPath(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                    "f: not Jsonnet",
--- a/internal/template/template.go
+++ b/internal/template/template.go
@@ -1,6 +1,6 @@
-// Package template decodes the project's own files of settings whole into a Go value. A name that the value does not
-// have, and a value of another kind, are errors that name the file and the path in it. Package jsonnet below it
-// evaluates templates; its library takes 2 MB at rest, so a router does not link it.
+// Package template decodes the project's own settings files into Go values. An unknown name and a value of a wrong type are
+// errors that name the file and the path in it. Its subpackage jsonnet evaluates Jsonnet templates; the Jsonnet library
+// takes 2 MB of memory even when idle, so a router does not link it.
 package template
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/go-viper/mapstructure/v2"
 )
 
-// Tag is the struct tag that names a field in files.
+// Tag is the key of the struct tag that holds a field's name in files.
 const Tag = "json"
 
-// Error is one thing wrong with a file.
+// Error is an error in a settings file.
 type Error struct {
-	File, Path, Text string // Path is empty where the file as a whole is meant
+	File, Path, Text string // Path is empty if the error concerns the whole file
 }
 
 func (e *Error) Error() string {
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s: %s: %s", e.File, e.Path, e.Text)
 }
 
-// Object reads the text of plain JSON; the name stands for it in errors.
+// ParseObject parses a JSON object; errors name it as file.
 func ParseObject(file, text string) (map[string]any, error) {
 	var v any
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
@@ -45,7 +45,8 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// times reads "1.5s" and refuses bare numbers, which leave the unit open, and parts of what is counted whole.
+// decodeScalar parses durations such as "1.5s". It rejects plain numbers for durations, since their unit would be unclear,
+// and fractions for integers.
 func decodeScalar(from, to reflect.Type, v any) (any, error) {
 	if f, ok := v.(float64); ok && to != durationType && to.Kind() >= reflect.Int && to.Kind() <= reflect.Uint64 &&
 		f != math.Trunc(f) {
@@ -65,7 +66,7 @@
 	return d, nil
 }
 
-// Decode puts an object into the struct that into points to; what the object does not name stays as it is.
+// Decode stores an object in the struct that into points to; fields that the object does not name keep their values.
 func Decode(file string, from map[string]any, into any) error {
 	var meta mapstructure.Metadata
 	d, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{Result: into, TagName: Tag, Metadata: &meta,
