--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -141,7 +141,7 @@
 	c.Limits, err = NewLimits(Resources{Cores: v.GetFloat64("limits", "cores"),
 		MemoryMB: v.GetInt("limits", "memory_mb"), Sockets: v.GetInt("limits", "sockets"),
 		DialTimeout: settings.DialTimeout(settingsValue)}, c.Settings)
-	if c.Settings.MaxOpenRequests <= 0 || c.Settings.MaxOpenRequests > c.Limits.MaxOpen { // the decision module chooses what to refuse beyond its MaxOpen
+	if c.Settings.MaxOpenRequests <= 0 || c.Settings.MaxOpenRequests > c.Limits.MaxOpen { // the module must shed load before the node has to refuse
 		c.Settings.MaxOpenRequests = c.Limits.MaxOpen
 	}
 	return c, err
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -57,7 +57,7 @@
 	DrainCloseUntil         time.Duration // then it closes connections between requests, until this long after SIGTERM
 	DrainTimeout            time.Duration // then it waits at most this long for requests that it has accepted
 	KillAfter               time.Duration // from this long after SIGTERM on the process may be killed, whatever it does
-	HangupPollInterval      time.Duration // between checks whether a peer has closed a connection that still has unread bytes
+	HangupPollInterval      time.Duration // between checks whether a client has closed a connection that still has unread bytes
 	Linger                  time.Duration // wait after a last answer for its client to close first; zero: close at once
 	LingerBytes             int64         // the most bytes read during Linger
 	BacklogQuietTime        time.Duration // as accepting ends, the backlog counts as empty once it has brought nothing for this long
