--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -13,23 +13,25 @@
 	"merlinarch/logic"
 )
 
-// Fleet is what this dispatcher knows of the servers, for the registrars. The loop writes it, the accord's task reads it.
+// Fleet collects what this dispatcher (a gateway under agreed rules) reports to the registrars (the members of the Raft
+// group that replicates those rules) about the servers. The gateway's loop writes it, and the goroutine that talks to the
+// registrars reads it.
 type Fleet struct {
 	clock    Clock
 	coldTime time.Duration
 
-	mu    sync.Mutex
-	hosts map[logic.ServerID]Host
-	heard map[logic.ServerID]cordon.Evidence // since the last Reports
-	sites map[string]contact.Evidence        // since the last Met
+	mu           sync.Mutex
+	hosts        map[logic.ServerID]Host
+	reports      map[logic.ServerID]cordon.Evidence // since the last TakeReports
+	siteEvidence map[string]contact.Evidence        // by site, since the last TakeSiteEvidence
 }
 
 func newFleet(clock Clock, coldTime time.Duration) *Fleet {
-	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, heard: map[logic.ServerID]cordon.Evidence{}, sites: map[string]contact.Evidence{}}
+	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Evidence{}, siteEvidence: map[string]contact.Evidence{}}
 }
 
-// set takes the list as it stands now.
-func (f *Fleet) set(hosts map[logic.ServerID]Host) {
+// setHosts replaces the list of servers.
+func (f *Fleet) setHosts(hosts map[logic.ServerID]Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.hosts)
@@ -38,8 +40,9 @@
 	}
 }
 
-// noted counts what came of an attempt: for its site, whether anything came at all, and for the server, its answers.
-func (f *Fleet) noted(id logic.ServerID, result Result) {
+// recordResult counts the result of an attempt: for the server's site, whether the site responded at all, and for the
+// server, its answers and errors.
+func (f *Fleet) recordResult(id logic.ServerID, result Result) {
 	o := result.Outcome
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,7 +50,7 @@
 	if !ok {
 		return
 	}
-	e := f.sites[h.Zone]
+	e := f.siteEvidence[h.Zone]
 	e.Site = h.Zone
 	switch {
 	case o == logic.OK || o == logic.ServerError || o == logic.Rejected || result.ConnRefused:
@@ -55,20 +58,20 @@
 	case o == logic.TimedOut || o == logic.ConnectFailed:
 		e.Unanswered++
 	}
-	f.sites[h.Zone] = e
+	f.siteEvidence[h.Zone] = e
 	if o != logic.OK && o != logic.ServerError {
 		return
 	}
-	r := f.heard[id]
+	r := f.reports[id]
 	r.Host = h.Name
 	r.Answered++
 	if o == logic.ServerError {
 		r.Errors++
 	}
-	f.heard[id] = r
+	f.reports[id] = r
 }
 
-// Listed is the list, with a sum over it.
+// Servers returns the list of servers, sorted by name, and a checksum that changes with it.
 func (f *Fleet) Servers() (servers []cordon.Server, sum string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,28 +86,28 @@
 	return servers, fmt.Sprintf("%x", h.Sum64())
 }
 
-// Met is what came of attempts at each site since it was last asked for.
+// TakeSiteEvidence returns the counts of each site since the last call, and resets them.
 func (f *Fleet) TakeSiteEvidence() []contact.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []contact.Evidence{}
-	for _, e := range f.sites {
+	for _, e := range f.siteEvidence {
 		out = append(out, e)
 	}
-	clear(f.sites)
+	clear(f.siteEvidence)
 	slices.SortFunc(out, func(a, b contact.Evidence) int { return cmp.Compare(a.Site, b.Site) })
 	return out
 }
 
-// Reports is what servers have answered since it was last asked for.
+// TakeReports returns the counts of each server since the last call, and resets them.
 func (f *Fleet) TakeReports() []cordon.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []cordon.Evidence{}
-	for _, r := range f.heard {
+	for _, r := range f.reports {
 		out = append(out, r)
 	}
-	clear(f.heard)
+	clear(f.reports)
 	slices.SortFunc(out, func(a, b cordon.Evidence) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -6,10 +6,10 @@
 	"merlinarch/logic"
 )
 
-// Encode gives settings in the form that Decode reads, for JSON.
+// Encode returns the settings in the form that Decode reads, ready to be marshalled to JSON.
 func Encode(s logic.Settings) map[string]any {
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	named := func(names map[string]logic.Repeatability, r logic.Repeatability) string {
+	nameOf := func(names map[string]logic.Repeatability, r logic.Repeatability) string {
 		for name, v := range names {
 			if v == r {
 				return name
@@ -33,9 +33,9 @@
 	}
 	classes, tenants := []any{}, []any{}
 	for _, c := range s.Classes {
-		entry := map[string]any{"name": c.Name, "repeat": named(repeats, c.Repeatability), "window_ms": ms(c.DedupWindow),
+		entry := map[string]any{"name": c.Name, "repeat": nameOf(repeatabilityNames, c.Repeatability), "window_ms": ms(c.DedupWindow),
 			"aim_ms": ms(c.LatencyTarget), "deadline_ms": ms(c.Deadline), "worth": c.Worth, "late_value": c.LateValue}
-		for name, scope := range scopes {
+		for name, scope := range scopeNames {
 			if scope == c.DedupScope && c.Repeatability == logic.Keyed {
 				entry["group"] = name
 			}
