--- a/logic/report.go
+++ b/logic/report.go
@@ -47,20 +47,20 @@
 func shortID(id ServerID) uint16 { return uint16(id ^ id>>16) }
 
 const (
-	reportVersion = 2
-	busyVersion   = 4
-	reportHead    = 12
-	busySize      = 3
-	busyFailed    = 1 << 7 // of a server's byte
-	busyErred     = 1 << 6
-	busyMost      = busyErred - 1 // attempts out, the rest of it
-	maxCount      = 1 << 24       // no router counts this many attempts in a trial
-	maxReport     = 256           // the longest message peers accept
+	reportVersion     = 2
+	inFlightVersion   = 4
+	reportHeaderSize  = 12
+	inFlightEntrySize = 3
+	inFlightFailedBit = 1 << 7 // of a server's byte
+	inFlightErrorBit  = 1 << 6
+	maxEntryInFlight  = inFlightErrorBit - 1 // attempts out, the rest of it
+	maxCount          = 1 << 24              // no router counts this many attempts in a trial
+	maxMessageSize    = 256                  // the longest message peers accept
 )
 
-var errReport = errors.New("malformed report")
+var errMalformed = errors.New("malformed report")
 
-func (a *Arm) plus(b Arm) {
+func (a *Arm) add(b Arm) {
 	to, from := a.fields(), b.fields()
 	for i := range to {
 		*to[i] += *from[i]
@@ -68,7 +68,7 @@
 }
 
 // count is 1 for yes.
-func count(yes bool) uint32 {
+func oneIf(yes bool) uint32 {
 	if yes {
 		return 1
 	}
@@ -83,28 +83,28 @@
 	return &c.Old
 }
 
-func (c *Counts) plus(d Counts) {
-	c.Old.plus(d.Old)
-	c.New.plus(d.New)
+func (c *Counts) add(d Counts) {
+	c.Old.add(d.Old)
+	c.New.add(d.New)
 }
 
-func (c Counts) size() uint32 { return c.Old.Attempts + c.New.Attempts }
+func (c Counts) attempts() uint32 { return c.Old.Attempts + c.New.Attempts }
 
 func (a *Arm) fields() [6]*uint32 {
 	return [6]*uint32{&a.Attempts, &a.Missed, &a.Errors, &a.Measured, &a.Slow, &a.Wrong}
 }
 
 // possible tells whether counts can be cumulative counts of attempts.
-func (a Arm) possible() bool {
+func (a Arm) isPossible() bool {
 	return a.Attempts <= maxCount && a.Missed <= a.Attempts && a.Errors+a.Wrong <= a.Missed && a.Slow <= a.Measured && a.Measured <= a.Attempts
 }
 
 // older tells whether another report of the same life of a router was made after this one.
-func (r *Report) older(other Report) bool {
+func (r *Report) isOlderThan(other Report) bool {
 	if other.Build != r.Build {
 		return other.Build > r.Build
 	}
-	return other.Stage > r.Stage || other.Stage == r.Stage && other.BuildCounts.size() > r.BuildCounts.size()
+	return other.Stage > r.Stage || other.Stage == r.Stage && other.BuildCounts.attempts() > r.BuildCounts.attempts()
 }
 
 func (r *Report) arms() []*Arm {
@@ -131,53 +131,53 @@
 
 // DecodeReport reads a report; anything malformed, of another version or with impossible counts is an error.
 func DecodeReport(b []byte) (Report, error) {
-	if len(b) < reportHead || len(b) > maxReport || b[0] != reportVersion {
-		return Report{}, errReport
+	if len(b) < reportHeaderSize || len(b) > maxMessageSize || b[0] != reportVersion {
+		return Report{}, errMalformed
 	}
 	r := Report{Incarnation: binary.BigEndian.Uint32(b[1:]), Build: BuildID(binary.BigEndian.Uint16(b[5:])),
 		Stage: int(b[7]), Demand: binary.BigEndian.Uint16(b[8:]), UsualDemand: binary.BigEndian.Uint16(b[10:])}
-	b = b[reportHead:]
+	b = b[reportHeaderSize:]
 	before, size := binary.Uvarint(b)
 	if size <= 0 || before > maxCount {
-		return Report{}, errReport
+		return Report{}, errMalformed
 	}
 	r.BaselineAnswers, b = uint32(before), b[size:]
 	for _, a := range r.arms() {
 		for _, dst := range a.fields() {
 			n, size := binary.Uvarint(b)
 			if size <= 0 || n > maxCount {
-				return Report{}, errReport
+				return Report{}, errMalformed
 			}
 			*dst, b = uint32(n), b[size:]
 		}
-		if !a.possible() {
-			return Report{}, errReport
+		if !a.isPossible() {
+			return Report{}, errMalformed
 		}
 	}
 	if len(b) > 0 {
-		return Report{}, errReport
+		return Report{}, errMalformed
 	}
 	return r, nil
 }
 
 // Encode gives the message's bytes, leaving out the servers that no longer fit.
 func (m InFlightReport) Encode() []byte {
-	b := []byte{busyVersion}
-	for _, s := range m[:min(len(m), (maxReport-1)/busySize)] {
+	b := []byte{inFlightVersion}
+	for _, s := range m[:min(len(m), (maxMessageSize-1)/inFlightEntrySize)] {
 		b = binary.BigEndian.AppendUint16(b, s.Server)
-		b = append(b, byte(min(s.InFlight, busyMost))|byte(count(s.Failed)*busyFailed)|byte(count(s.AnsweredError)*busyErred))
+		b = append(b, byte(min(s.InFlight, maxEntryInFlight))|byte(oneIf(s.Failed)*inFlightFailedBit)|byte(oneIf(s.AnsweredError)*inFlightErrorBit))
 	}
 	return b
 }
 
 // DecodeInFlight reads such a message; anything malformed or of another version is an error.
 func DecodeInFlightReport(b []byte) (InFlightReport, error) {
-	if len(b) == 0 || len(b) > maxReport || b[0] != busyVersion || len(b)%busySize != 1 {
-		return nil, errReport
+	if len(b) == 0 || len(b) > maxMessageSize || b[0] != inFlightVersion || len(b)%inFlightEntrySize != 1 {
+		return nil, errMalformed
 	}
 	var m InFlightReport
-	for b = b[1:]; len(b) > 0; b = b[busySize:] {
-		m = append(m, BusyServer{binary.BigEndian.Uint16(b), int(b[2] & busyMost), b[2]&busyFailed > 0, b[2]&busyErred > 0})
+	for b = b[1:]; len(b) > 0; b = b[inFlightEntrySize:] {
+		m = append(m, BusyServer{binary.BigEndian.Uint16(b), int(b[2] & maxEntryInFlight), b[2]&inFlightFailedBit > 0, b[2]&inFlightErrorBit > 0})
 	}
 	return m, nil
 }
