--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,9 +1,11 @@
-// This file holds every decision of the router, its tables and its tuned values. Read api.go first: the
-// settings, events and actions are there. report.go is only the codec of the messages between routers;
-// what is kept between events is laid out in state.go. Neither decides anything.
+// This file holds all decisions of the router and their constants. Read api.go first: it defines the
+// settings, events and actions. state.go defines what the router keeps between events, and report.go encodes
+// and decodes the messages between routers; neither of them decides anything.
 //
-// Order: tuned values; the router and its events; servers (list, health, cold ramp); builds and exposure;
-// choice of a server; the life of a request; overload; evidence; the test; votes.
+// Order of this file: constants; events; servers (list, health, slow start); builds and exposure; choice of a
+// server; the life of a request; overload (concurrency limit and queue); evidence; the statistical test;
+// votes.
+
 package logic
 
 import (
@@ -15,83 +17,93 @@
 	"time"
 )
 
-// The design's values (docs/design.md). Level, margin, voters and the walk are fixed; the rest is open.
+// Constants of the release guard's design (docs/design.md). significanceLevel, missedMargin, votersPerBuild
+// and the walk are fixed by it; the others may change. A "part" is always a fraction of 1.
 const (
-	votersPerBuild        = 3                      // voters a build, picked by hash
-	missedMargin          = 0.02                   // harm that the test lets pass
-	significanceLevel     = 0.01                   // the test rejects below this
-	testSampleSize        = 20                     // pooled trial outcomes at which a voter tests
-	walkPermutations      = 20                     // permuted orderings of the walk
-	trialCapPart          = 0.8                    // first sends to the build on trial, as a part of the cap
-	minEvidenceAge        = 3 * time.Second        // outcomes of servers younger than this are no evidence
-	stageTimeout          = 5 * time.Second        // after the newest machine's listing a voter tests what it has
-	reportInterval        = 250 * time.Millisecond // counts go to the voters so often, or 8 times as rarely
-	reportBytesPerRequest = 64                     // bytes of messages that a request pays for
+	votersPerBuild        = 3                      // routers that vote on a build, chosen by hash
+	missedMargin          = 0.02                   // increase in missed requests that the test tolerates
+	significanceLevel     = 0.01                   // the test rejects a build at p-values below this
+	testSampleSize        = 20                     // pooled outcomes of the new build at which a voter tests
+	walkPermutations      = 20                     // random orderings whose results the test combines
+	trialCapPart          = 0.8                    // part of the cap used by first attempts at the new build
+	minEvidenceAge        = 3 * time.Second        // outcomes of younger servers are not counted as evidence
+	stageTimeout          = 5 * time.Second        // wait for outcomes after the newest server's listing
+	reportInterval        = 250 * time.Millisecond // least time between reports to voters; 8 times it at most
+	reportBytesPerRequest = 64                     // bytes of reports allowed per request received
 )
 
 const (
 	tickInterval   = 50 * time.Millisecond
-	stallThreshold = 100 * time.Millisecond // a tick this late tells that the router stood still
-
-	suspectChance      = 0.01                   // a run of failures less likely than this makes a server suspect
-	firstPause         = 500 * time.Millisecond // it is left alone this long, then twice, ... up to 16 times
-	minFailureRate     = 0.05                   // the least part of failures that counts as usual
-	minOutlierFailures = 3.0                    // failures that any routers saw at a server, for it to stand out
-	recentFailureDecay = 0.975                  // of them, each tick: they count for about 2 s
-
-	slowStartBudgetPart = 0.85 // part of a cold server's fall budget that all routers together may use
-	servedRateSeconds   = 10.0 // seconds over which the rate of served requests is smoothed
-	minServedPart       = 0.25 // of the rate of requests: what counts as served in any case
-
-	minSubsetSize, subsetSeconds = 6, 3.0 // servers that a lonely router keeps to, or its requests in so many seconds
-	maxRandomDraws               = 6      // random draws of a server before a search
-	loadPerCost                  = 6.0    // attempts in flight that one point of price is worth
-	highHandshakeCost            = 0.05   // from this price on, a draw without an open connection is made once more
-	sameZoneFactor               = 8.0    // times the cross-zone price: the chance that one choice is a near server
-	lateReduction                = 2.0    // the trial share falls by this times the part of late answers
-	spillOverLoad                = 1.3    // drawn requests go to the old build if new servers are so much busier
-	maxClosedStageKeyUses        = 2      // under forward-only keys met more often do not try a closed stage
-
-	attemptSmoothing      = 0.08                   // of the parts of attempts that show a symptom, each attempt
-	longIdle              = 500 * time.Millisecond // connections unused for longer may have been dropped unseen
-	highIdleLoss          = 0.2                    // of those on idle connections got no answer: they are dropped
-	idleLossDecay         = 0.997                  // of what was lost on them, each tick
-	highRequestFault      = 0.5                    // of the errors come again elsewhere: they are the requests' own
-	requestFaultRetryPart = 0.1                    // then so many are tried again
-	slowConnectMargin     = 0.3                    // of the aim later on new connections: connecting is slow
-
-	initialLimitPerServer = 3.0 // concurrency limit at start, attempts a server; half of it at least, of all routers
+	stallThreshold = 100 * time.Millisecond // a tick later than this means that the router itself stood still
+
+	suspectChance      = 0.01                   // less likely runs of failures make a server suspect
+	firstPause         = 500 * time.Millisecond // first time a server is avoided; doubles up to 16 times this
+	minFailureRate     = 0.05                   // lower bound of the usual failure rate
+	minOutlierFailures = 3.0                    // least recent failures, seen by any routers, of an outlier
+	recentFailureDecay = 0.975                  // factor per tick, so that failures count for about 2 s
+
+	slowStartBudgetPart = 0.85 // part of a cold server's overload budget that all routers together may use
+	servedRateSeconds   = 10.0 // time over which the rate of served requests is smoothed
+	minServedPart       = 0.25 // part of the request rate that counts as served at least
+
+	// A router that gets no in-flight counts from its peers uses at least minSubsetSize servers, or as many
+	// as it gets requests in subsetSeconds.
+	minSubsetSize, subsetSeconds = 6, 3.0
+
+	maxRandomDraws        = 6    // random draws of a server before a linear search
+	loadPerCost           = 6.0  // attempts in flight that weigh as much as a cost of 1
+	highHandshakeCost     = 0.05 // from this cost on, drawing a server without a connection is retried once
+	sameZoneFactor        = 8.0  // times the cross-zone cost: the chance that one choice is in the own zone
+	lateReduction         = 2.0  // the trial's share shrinks by this multiple of the part of late answers
+	spillOverLoad         = 1.3  // load ratio beyond which requests for the new build go to the old one
+	maxClosedStageKeyUses = 2    // forward-only: keys used more often do not try a build in a closed stage
+
+	attemptSmoothing      = 0.08                   // weight of one attempt in the moving averages
+	longIdle              = 500 * time.Millisecond // connections idle for longer may be dropped silently
+	highIdleLoss          = 0.2                    // above this unanswered part, idle connections are closed
+	idleLossDecay         = 0.997                  // factor per tick for the loss on idle connections
+	highRequestFault      = 0.5                    // if more errors recur elsewhere, requests are at fault
+	requestFaultRetryPart = 0.1                    // part of errors that is still retried then
+	slowConnectMargin     = 0.3                    // extra latency on new connections, in latency targets
+
+	// The initial concurrency limit is this many attempts per server. All routers' limits together are never
+	// lower than half of it.
+	initialLimitPerServer = 3.0
 	limitDecrease         = 0.9
-	highLatePart          = 0.2 // part of answers over lateness that cuts the limit
-	overShareMultiple     = 1.3 // a tenant is over its share beyond this multiple of its part
+	highLatePart          = 0.2 // part of late answers above which the limit is cut
+	overShareMultiple     = 1.3 // a tenant is over its share beyond this multiple of it
 
-	maxIncarnations         = 16          // starts of a peer during one build whose counts are kept
-	inFlightTTL             = time.Second // attempts out that a peer told of count so long; told 10 times in it at most
-	inFlightBytesPerRequest = 512         // bytes of such messages that a request pays for
-	messageOverheadBytes    = 20          // bytes that any message costs besides its own
+	maxIncarnations         = 16          // incarnations of a peer during one build whose counts are kept
+	inFlightTTL             = time.Second // a peer's in-flight report counts this long; 10 per TTL at most
+	inFlightBytesPerRequest = 512         // bytes of in-flight reports allowed per request received
+	messageOverheadBytes    = 20          // bytes that a message costs beyond its payload
 
 	guardInterval       = time.Second     // pause between the guards' tests
-	minGuardErrors      = 4               // fewer errors than this say nothing
-	errorMargin         = 0.003           // more errors than this, beyond the old build's, are harm
-	spanLength          = time.Second     // the builds' errors are compared within spans of it
-	spanPriorAnswers    = 5.0             // all earlier answers of the old build weigh as much as so many of the span
-	isolatedHealthyPart = 0.67            // with this part of its build's hosts fit, a failing host stands alone
-	slowQuantile        = 0.75            // of the answers before a trial were faster than the mark
-	minBaselineAnswers  = 4               // answers that make a mark
-	slowMargin          = 0.2             // more slow answers than this, beyond the old build's, are harm
-	fleetSlowdownCap    = 0.4             // with less traffic a build hardly slows a fleet
-	fleetSlowdownTime   = 7 * time.Second // after the release; later slowness has other causes
-	fleetSlowMargin     = 0.1             // more slow answers than before the trial by this are harm to the fleet
-	fleetMissedPart     = 0.05            // slow answers are no harm while no more than this part misses the aim,
-	fleetSeverePart     = 0.25            // but, in a trial, if so many more are slow and take so much of the aim
-	highDemandMultiple  = 1.3             // beyond this multiple of the usual requests, slowness is laid to them
-
-	voteStagger    = 1200 * time.Millisecond // a voter waits so long for each before it, a third for 'back'
+	minGuardErrors      = 4               // fewer errors than this are not tested
+	errorMargin         = 0.003           // increase in errors over the old build that is tolerated
+	spanLength          = time.Second     // errors of the two builds are compared within spans of this length
+	spanPriorAnswers    = 5.0             // weight of the old build's earlier answers, in answers of one span
+	isolatedHealthyPart = 0.67            // if this part of a build is healthy, a failing server is isolated
+	slowQuantile        = 0.75            // part of the baseline's answers below the slow threshold
+	minBaselineAnswers  = 4               // answers needed to set a slow threshold
+	slowMargin          = 0.2             // increase in slow answers over the old build that is tolerated
+	fleetSlowdownCap    = 0.4             // a build with a lower cap hardly slows the whole fleet
+	fleetSlowdownTime   = 7 * time.Second // after the release; slowness that comes later has other causes
+	fleetSlowMargin     = 0.1             // increase in slow answers over the baseline that is tolerated
+
+	// A slower fleet is tolerated while less than fleetMissedPart of its requests miss their target. During a
+	// trial it is not, if the increase in slow answers and the mean latency as a part of the target exceed
+	// fleetSeverePart.
+	fleetMissedPart    = 0.05
+	fleetSeverePart    = 0.25
+	highDemandMultiple = 1.3 // demand above this multiple of the usual one explains slowness
+
+	voteStagger    = 1200 * time.Millisecond // delay per voter ranked before this one; a third for rollbacks
 	voteRetryPause = 700 * time.Millisecond  // pause after a vote that did not count
-	voteRenewLead  = 500 * time.Millisecond  // a vote is renewed this long before it lapses
+	voteRenewLead  = 500 * time.Millisecond  // a vote is renewed this long before it expires
 )
 
-// Handle takes one event and returns what is to be done; the slice is valid until the next call.
+// Handle processes one event and returns the actions to carry out. The slice is valid until the next call.
 func (r *Router) Handle(now time.Duration, e Event) []Action {
 	r.now, r.actions = now, r.actions[:0]
 	switch {
@@ -129,15 +141,17 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// tick does what only time brings: rates, the limit, the queue, reports and votes.
+// tick does the periodic work: it updates the rates and the concurrency limit, works off the queue, sends
+// reports to peers and votes.
 func (r *Router) tick() {
 	r.nextTickAt = r.now + tickInterval
 	r.emit(SetTimer{After: tickInterval, Token: 1})
 	r.ticks++
-	step := max(tickInterval.Seconds()/2, 1/r.ticks) // a plain mean at first, then over about 2 s
+	step := max(tickInterval.Seconds()/2, 1/r.ticks) // a plain mean at first, later over about 2 s
 	smooth(&r.requestRate, step, r.arrivals/tickInterval.Seconds())
 	smooth(&r.demand, step, (r.arrivals-r.repeatArrivals)/tickInterval.Seconds())
-	smooth(&r.servedRate, max(tickInterval.Seconds()/servedRateSeconds, 1/r.ticks), r.servedCount/tickInterval.Seconds())
+	smooth(&r.servedRate, max(tickInterval.Seconds()/servedRateSeconds, 1/r.ticks),
+		r.servedCount/tickInterval.Seconds())
 	r.arrivals, r.repeatArrivals, r.servedCount = 0, 0, 0
 	for _, t := range r.tenants {
 		smooth(&t.rate, step, t.arrivals/tickInterval.Seconds())
@@ -157,10 +171,11 @@
 	r.testAndVote()
 }
 
-// ---- Servers: the list, health and the cold ramp ----
+// ---- Servers: the list, health and slow start ----
 
+// updateServers applies a list, or changes to it, from discovery. A server that restarted loses its history.
 func (r *Router) updateServers(e ServersListed) {
-	if e.Failed { // only who asked is told of it
+	if e.Failed { // reported only to routers that asked
 		r.emit(Watch{})
 		return
 	}
@@ -173,7 +188,7 @@
 			delete(r.servers, entry.ID)
 		case current == nil:
 			r.servers[entry.ID] = &server{Server: entry}
-		case current.Build != entry.Build || current.Started != entry.Started: // restarted: its past is void
+		case current.Build != entry.Build || current.Started != entry.Started: // restarted
 			current.health, current.slowStartUsed, current.Server = health{}, 0, entry
 		default:
 			current.State, current.Weight = entry.State, entry.Weight
@@ -202,15 +217,16 @@
 	r.drainQueue()
 }
 
-// coldRoom tells whether a cold server may get one more request. Danger: all routers together push a
-// server that has just started over. Each router uses at most coldPart of the stated multiple of what the
-// servers serve it on average, so the sum stays within the budget whatever the routers' shares are.
+// slowStartAllows reports whether a cold server may get one more request, and counts that request if spend is
+// set. Without this limit, all routers together would overload a server that has just started. Each router
+// uses at most slowStartBudgetPart of the allowed multiple of what the servers serve for it on average, so
+// the sum stays within the budget whatever the routers' shares of the traffic are.
 func (r *Router) slowStartAllows(s *server, spend bool) bool {
 	warm := r.warmPart(s)
 	if warm >= 1 || len(r.serverList) == 0 {
 		return true
 	}
-	rate := warm * r.slowStartRate() * r.groupOf(s.Build).subsetFactor() // others keep away
+	rate := warm * r.slowStartRate() * r.groupOf(s.Build).subsetFactor() // other routers do not use it
 	burst := max(1, rate*r.settings.OverloadTime.Seconds()/8)
 	s.slowStartUsed = max(0, s.slowStartUsed-rate*(r.now-s.slowStartAt).Seconds())
 	s.slowStartAt = r.now
@@ -220,17 +236,19 @@
 	return s.slowStartUsed+1 <= burst+1e-9
 }
 
-// coldRate is what this router may send to a server a second, by the part of its capacity that it has.
+// slowStartRate returns the requests per second that this router may send to a server whose warm part is 1.
 func (r *Router) slowStartRate() float64 {
 	serverCount := max(1, len(r.base.all), len(r.trial.all))
 	if r.settings.Rollout.RollingUpdate {
 		serverCount = max(serverCount, r.readyCount)
 	}
-	return slowStartBudgetPart * r.settings.OverloadMultiple * max(r.servedRate, minServedPart*r.requestRate) / float64(serverCount)
+	return slowStartBudgetPart * r.settings.OverloadMultiple *
+		max(r.servedRate, minServedPart*r.requestRate) / float64(serverCount)
 }
 
-// coldGate is the part of its requests that a router may send to a group with cold servers in it. Danger: of
-// many routers each has room for a first request, and where few servers are left all turn to them.
+// slowStartPart returns the part of its requests that the router may send to the cold servers of a group.
+// Without it, each of many routers would have budget for a first request, and where few servers are left, all
+// routers would send theirs to the same ones.
 func (r *Router) slowStartPart(g group) float64 {
 	sum := 0.0
 	for _, s := range g.all {
@@ -239,21 +257,24 @@
 	return sum * r.slowStartRate() / max(r.requestRate, 1e-9)
 }
 
-// blame notes a failure that may be the server's own. Danger: a server that fails at once looks idle and
-// draws traffic; a silent one holds it. Covers dead, silent, cut-off and failing servers alike. Danger:
-// requests that fail anywhere would pause all, so a run must be unlikely at the usual part of failures.
+// recordFailure counts a failure that the server may have caused, and makes the server suspect, so that it is
+// avoided for a while, if the server certainly caused it (sure) or if the run of failures is improbable.
+// Without this, a server that fails at once would look idle and attract traffic, and a silent one would hold
+// it. Dead, silent, unreachable and failing servers are all covered. Requests that fail at any server would
+// make all servers suspect; so a run of failures has to be unlikely at the usual failure rate.
 func (r *Router) recordFailure(s *server, sure bool) {
-	if s.consecutiveFailures++; sure || math.Pow(max(r.failurePart, minFailureRate), float64(s.consecutiveFailures)) < suspectChance {
+	if s.consecutiveFailures++; sure ||
+		math.Pow(max(r.failurePart, minFailureRate), float64(s.consecutiveFailures)) < suspectChance {
 		s.suspectFor = min(max(2*s.suspectFor, firstPause), 16*firstPause)
 		s.suspectUntil = r.now + s.suspectFor
 	}
 }
 
-// ailing notes a failure that this router or another has seen. Danger: a router of a large fleet meets a
-// server seldom; when it has learnt for itself that one fails, each of the others has too, at a request of
-// its own. One that stands out from its build is left alone by all, each for a time of its own, else they
-// would all come back at once. It hurts where chance makes a sound server stand out; if all of a build fail,
-// none does.
+// ejectIfOutlier counts a failure that this router or a peer has seen, and ejects the server if it is an
+// outlier of its build. In a large fleet a router rarely uses any one server; if routers did not share
+// failures, each of them would need failed requests of its own to find out about a server. The ejection time
+// is jittered, since otherwise all routers would come back at once. The price is that a healthy server may
+// look like an outlier by chance. If all servers of a build fail, none is ejected.
 func (r *Router) ejectIfOutlier(s *server, answeredError bool) {
 	s.recentFailures++
 	s.buildErrors += float64(oneIf(answeredError))
@@ -261,42 +282,48 @@
 	if r.now > s.ejectedUntil+16*firstPause {
 		s.ejectedFor = 0
 	}
-	suspected := s.ejectedFor > 0 || r.isOutlier(s) // a circuit breaker: half open, one failure is enough
-	if s.ejectedUntil > r.now || !suspected || float64(r.healthyCount(g)) < isolatedHealthyPart*float64(len(g.all)) {
+	suspected := s.ejectedFor > 0 || r.isOutlier(s) // half-open after an ejection: one failure is enough
+	if s.ejectedUntil > r.now || !suspected ||
+		float64(r.healthyCount(g)) < isolatedHealthyPart*float64(len(g.all)) {
 		return
 	}
 	s.ejectedFor = min(max(2*s.ejectedFor, firstPause), 16*firstPause)
 	s.ejectedUntil = r.now + s.ejectedFor/2 + time.Duration(r.rng.Int64N(int64(s.ejectedFor)))
-	if r.hasEjectedBase() { // Danger: a new build's sick hosts are met anew, the old one's are left alone by then
+	// Failing servers of the old build are ejected already, while those of the new build are only being
+	// discovered. Counting the latter's failures would bias the comparison against the new build.
+	if r.hasEjectedBase() {
 		r.uncountFailures(s)
 	}
 }
 
-// standsOut tells that so many failures of late at a server are unlikely, as often as its build's fail.
+// isOutlier reports whether a server has more recent failures than is likely at its build's average.
 func (r *Router) isOutlier(s *server) bool {
 	g, sum := r.groupOf(s.Build), 0.0
 	for _, other := range g.all {
 		sum += other.recentFailures
 	}
-	return s.recentFailures >= minOutlierFailures && poissonTail(sum/float64(max(1, len(g.all))), uint32(s.recentFailures)) < suspectChance
+	return s.recentFailures >= minOutlierFailures &&
+		poissonTail(sum/float64(max(1, len(g.all))), uint32(s.recentFailures)) < suspectChance
 }
 
 // ---- Builds and exposure ----
 
-// trialCap is the cap and stage that bind for a build that is not released.
+// trialCap returns the exposure cap and the stage that apply to a build that is not released.
 func (r *Router) trialCap(build BuildID) (float64, int) {
 	if build == r.release.Build || len(r.settings.Rollout.StageCap) == 0 {
 		return r.release.Cap, r.release.Stage
 	}
-	return r.settings.Rollout.StageCap[0], 0 // not yet named: counts as in the first stage
+	return r.settings.Rollout.StageCap[0], 0 // the platform has not announced it: first stage
 }
 
-// onTrial tells whether the rule on exposure binds a build. Nothing is sent before the first news.
+// isOnTrial reports whether the exposure cap applies to a build. (No request is sent before the first release
+// status.)
 func (r *Router) isOnTrial(b BuildID) bool {
 	return b > r.release.Build || b == r.release.Build && r.release.Phase != Released
 }
 
-// mayTry tells whether an attempt of this class may go to the build on trial now, and takes it if asked.
+// trialAllows reports whether the exposure budget allows an attempt of this class at the build on trial now.
+// With take set, the attempt is taken out of the budget.
 func (r *Router) trialAllows(build BuildID, c *class, take bool) bool {
 	limit, stage := r.trialCap(build)
 	if limit <= 0 || stage < r.settings.Rollout.ClosedStages && c.Repeatability != Safe {
@@ -315,7 +342,8 @@
 	return i >= 0
 }
 
-// regroup sorts the servers into those of the base build and those of the build on trial.
+// groupServers divides the ready servers into those of the base build and those of the build on trial. The
+// base is the newest build that is not on trial, preferably one that has not been rolled back or withdrawn.
 func (r *Router) groupServers() {
 	r.base, r.trial, r.trialBuild = group{}, group{}, 0
 	var baseID BuildID
@@ -345,8 +373,9 @@
 	r.baseSlowStartPart = r.slowStartPart(r.base)
 }
 
-// few picks the servers that a router without peers' news keeps to, by a hash of its own. Danger: an idle
-// router that meets a whole large fleet connects anew each time, and never learns which servers are silent.
+// subsetOf returns the servers that this router uses. A router that gets no in-flight counts from its peers
+// uses a subset, chosen by a hash of its own number. Without it, an idle router in a large fleet would open a
+// new connection for each request, and would never learn which servers do not answer.
 func (r *Router) subsetOf(group []*server) []*server {
 	n := max(minSubsetSize, int(r.requestRate*subsetSeconds))
 	if !r.inFlightUnshared || n >= len(group) {
@@ -354,13 +383,15 @@
 	}
 	ordered := slices.Clone(group)
 	slices.SortFunc(ordered, func(a, b *server) int {
-		return cmp.Compare(hash(uint64(a.ID), uint64(r.settings.Self)), hash(uint64(b.ID), uint64(r.settings.Self)))
+		return cmp.Compare(hash(uint64(a.ID), uint64(r.settings.Self)),
+			hash(uint64(b.ID), uint64(r.settings.Self)))
 	})
 	return ordered[:n]
 }
 
-// trialChance is the chance that a first request tries the build on trial: the design's share of the cap.
-// Exception, where the new machines are too few or too cold to carry that: their part of the fleet.
+// trialChance returns the probability that the first attempt of a request goes to the build on trial:
+// trialCapPart of the cap, or the new servers' part of the fleet where they are too few or too cold to carry
+// that much.
 func (r *Router) trialChance(c *class) float64 {
 	limit, stage := r.trialCap(r.trialBuild)
 	if stage < r.settings.Rollout.ClosedStages && c.Repeatability != Safe {
@@ -371,13 +402,17 @@
 		return 1
 	}
 	for _, s := range r.trial.all {
-		if s.isHealthy(r.now) && r.slowStartAllows(s, false) { // else the few warm ones would get the others' part
+		// Cold servers without budget do not count; otherwise the warm ones would get their traffic too.
+		if s.isHealthy(r.now) && r.slowStartAllows(s, false) {
 			trialSize += r.warmPart(s)
 		}
 	}
-	if r.inFlightUnshared { // busier servers would pass for a worse build, and no spill evens them out without news
+	// Without in-flight counts from peers, load does not spill over to the old build, and busier servers
+	// would make the new build look worse. Where many answers are late, slightly slower servers miss many
+	// more targets.
+	if r.inFlightUnshared {
 		fleetSize += trialSize
-		trialSize *= max(0, 1-lateReduction*r.latePart) // where much is late, a little slower is much later
+		trialSize *= max(0, 1-lateReduction*r.latePart)
 	} else if r.settings.Rollout.RollingUpdate {
 		fleetSize += float64(len(r.trial.all))
 	}
@@ -386,7 +421,8 @@
 
 // ---- Choice of a server ----
 
-// load is what two choices compare: attempts in flight, by size and warmth.
+// load returns the load of a server by which two choices are compared: the attempts in flight, relative to
+// its current capacity, plus the costs of crossing zones and of a new connection.
 func (r *Router) load(s *server) float64 {
 	l := float64(s.inFlight+s.peerInFlight) / r.capacity(s)
 	if s.Zone != r.settings.Zone {
@@ -395,11 +431,12 @@
 	return l + loadPerCost*r.settings.HandshakeCost*float64(oneIf(!r.isConnected(s)))
 }
 
-// pick makes two random choices among the usable servers of a group, one of them near, and takes the less
-// loaded; suspects only where nothing else is left.
+// pickServer draws two usable servers of a group at random and returns the less loaded (power of two
+// choices). The second is drawn from the router's own zone with a probability that grows with the cross-zone
+// cost. A first attempt may go to a suspect or ejected server if no other is left.
 func (r *Router) pickServer(g group, req *request) *server {
 	first := cmp.Or(r.drawServer(g.subset, req, false), r.drawServer(g.all, req, false))
-	allowSuspects := first == nil && req.attempts == 0 // once only, else repeats storm where all refuse
+	allowSuspects := first == nil && req.attempts == 0 // not for retries: a storm of them where all refuse
 	if allowSuspects {
 		first = r.drawServer(g.all, req, true)
 	}
@@ -413,12 +450,14 @@
 	return first
 }
 
-// throw draws a usable server by chance in step with what each can do now, and searches if that fails. Danger
-// otherwise: routers that see nothing in flight would together all prefer the largest and warmest.
+// drawServer draws a usable server at random, weighted by current capacity, and falls back to a linear
+// search. Without the weighting, routers that see nothing in flight would all prefer the largest and warmest
+// servers at the same time.
 func (r *Router) drawServer(servers []*server, req *request, allowSuspects bool) *server {
 	usable := func(s *server) bool {
 		healthy := s != req.server && s.isHealthy(r.now)
-		admitted := r.warmPart(s) >= 1 || req.randomDraw < r.baseSlowStartPart || req.drawnForTrial && r.isOnTrial(s.Build) // through the gate
+		admitted := r.warmPart(s) >= 1 || req.randomDraw < r.baseSlowStartPart ||
+			req.drawnForTrial && r.isOnTrial(s.Build)
 		return (healthy || allowSuspects) && admitted && r.mayAttemptAt(req, s) && r.slowStartAllows(s, false)
 	}
 	var unconnected *server
@@ -430,7 +469,7 @@
 		if unconnected != nil || r.settings.HandshakeCost < highHandshakeCost || r.isConnected(s) {
 			return s
 		}
-		unconnected = s // Danger: each of many routers would open connections to each of many servers
+		unconnected = s // drawing again keeps many routers from opening connections to each of many servers
 	}
 	if unconnected != nil {
 		return unconnected
@@ -444,29 +483,36 @@
 	return nil
 }
 
-// repeatOK tells whether an attempt here would keep to the request's zone and to the rule on repeats.
+// mayAttemptAt reports whether an attempt at s respects the request's required zone and the rules for
+// repeats: once an attempt may have run, an unsafe request is never repeated, and a keyed one only where and
+// while its servers deduplicate it.
 func (r *Router) mayAttemptAt(req *request, s *server) bool {
 	windowOver := req.class.Repeatability == Unsafe || r.now+r.settings.ClockResolution >= req.dedupExpiry()
-	sameScope := req.class.DedupScope == ScopeAll || req.class.DedupScope == ScopeZone && s.Zone == req.mayHaveRunOn.Zone ||
+	sameScope := req.class.DedupScope == ScopeAll ||
+		req.class.DedupScope == ScopeZone && s.Zone == req.mayHaveRunOn.Zone ||
 		req.class.DedupScope == ScopeCell && s.Cell == req.mayHaveRunOn.Cell
-	return (req.RequiredZone == "" || s.Zone == req.RequiredZone) && (!req.mayHaveRun || req.class.Repeatability == Safe || !windowOver && sameScope)
+	return (req.RequiredZone == "" || s.Zone == req.RequiredZone) &&
+		(!req.mayHaveRun || req.class.Repeatability == Safe || !windowOver && sameScope)
 }
 
-// choose finds the server for a request's next attempt, or nil where it has to wait.
+// chooseServer returns the server for a request's next attempt, or nil if the request has to wait.
 func (r *Router) chooseServer(req *request) *server {
 	minBuild := r.minBuildFor(req)
 	wantsTrial := minBuild == r.trialBuild || req.drawnForTrial && req.attempts == 0
 	if len(r.trial.all) > 0 && wantsTrial && r.trialAllows(r.trialBuild, req.class, false) {
 		trialServer, baseServer := r.pickServer(r.trial, req), r.pickServer(r.base, req)
-		if trialServer != nil && baseServer != nil && minBuild == 0 && r.load(trialServer) > spillOverLoad*(1+r.load(baseServer)) {
-			return baseServer // busier servers would pass for a worse build
+		if trialServer != nil && baseServer != nil && minBuild == 0 &&
+			r.load(trialServer) > spillOverLoad*(1+r.load(baseServer)) {
+			return baseServer // busier servers would make the new build look worse
 		}
 		if trialServer != nil {
 			return trialServer
 		}
 	}
-	// Danger: a stale list names servers long gone; where none is fit, the build on trial serves in its cap.
-	if r.healthyCount(r.base) == 0 && r.healthyCount(r.trial) > 0 && r.trialAllows(r.trialBuild, req.class, false) {
+	// A stale list may name base servers that no longer exist. If none is healthy, the build on trial serves
+	// within its cap.
+	if r.healthyCount(r.base) == 0 && r.healthyCount(r.trial) > 0 &&
+		r.trialAllows(r.trialBuild, req.class, false) {
 		return r.pickServer(r.trial, req)
 	}
 	if len(r.base.all) > 0 && r.base.all[0].Build >= minBuild {
@@ -475,7 +521,8 @@
 	return nil
 }
 
-// pinnedTo is the lowest build that may serve the request's key (forward-only).
+// minBuildFor returns the oldest build that may serve the request's key where keys may only move forward to
+// newer builds, or 0 for any.
 func (r *Router) minBuildFor(req *request) BuildID {
 	if !r.settings.Rollout.ForwardOnly || !req.HasKey {
 		return 0
@@ -485,22 +532,25 @@
 
 // ---- The life of a request ----
 
+// admit registers a new request and sends its first attempt or queues it.
 func (r *Router) admit(e RequestArrived) {
 	c := r.classes[e.Class]
 	if c == nil { // a class outside the settings is treated as the strictest
-		c = &class{Class: Class{Name: e.Class, Repeatability: Unsafe, LatencyTarget: e.TimeLeft, Deadline: e.TimeLeft, Worth: 1}}
+		c = &class{Class: Class{Name: e.Class, Repeatability: Unsafe, LatencyTarget: e.TimeLeft,
+			Deadline: e.TimeLeft, Worth: 1}}
 	}
-	req := &request{RequestArrived: e, class: c, arrived: r.now, deadline: r.now + e.TimeLeft, priority: c.Worth}
+	req := &request{RequestArrived: e, class: c, arrived: r.now, deadline: r.now + e.TimeLeft,
+		priority: c.Worth}
 	r.requests[e.ID], req.randomDraw = req, r.rng.Float64()
 	r.arrivals++
-	r.repeatArrivals += float64(oneIf(e.MarkedRetry)) // of a request that was counted before
+	r.repeatArrivals += float64(oneIf(e.MarkedRetry)) // the original was counted already
 	if t := r.tenants[e.Tenant]; t != nil {
 		t.arrivals++
 		if t.rate > overShareMultiple*t.share*r.requestRate {
 			req.priority *= r.settings.OverShareWorth
 		}
 	}
-	if limit, _ := r.trialCap(r.trialBuild); r.trialBuild != 0 { // every request earns its part of an attempt
+	if limit, _ := r.trialCap(r.trialBuild); r.trialBuild != 0 { // every request adds to the budget
 		r.budget(r.trialBuild, c).earn(limit)
 	}
 	r.drawForTrial(req)
@@ -509,8 +559,9 @@
 	}
 }
 
-// draw decides by chance whether a first request tries the build on trial. Exception under forward-only:
-// bound keys count first, and popular ones stay out of closed stages: their writes could then go nowhere.
+// drawForTrial decides at random whether the first attempt of a request goes to the build on trial. Where
+// keys may only move forward, requests whose key is bound to that build come out of the same share first, and
+// keys in frequent use stay out of closed stages: once bound, their writes could not be served by any build.
 func (r *Router) drawForTrial(req *request) {
 	if r.trialBuild == 0 {
 		return
@@ -522,7 +573,8 @@
 		if smooth(&req.class.pinnedPart, 0.02, float64(oneIf(isPinned))); isPinned {
 			return
 		}
-		if _, stage := r.trialCap(r.trialBuild); stage < r.settings.Rollout.ClosedStages && r.keyUses[req.Key] > maxClosedStageKeyUses {
+		if _, stage := r.trialCap(r.trialBuild); stage < r.settings.Rollout.ClosedStages &&
+			r.keyUses[req.Key] > maxClosedStageKeyUses {
 			return
 		}
 		chance = max(0, chance-req.class.pinnedPart)
@@ -530,7 +582,7 @@
 	req.drawnForTrial = r.rng.Float64() < chance
 }
 
-// try sends the next attempt if the limit and the rules leave a server for it.
+// trySend sends the next attempt and returns true if the concurrency limit and the rules allow it.
 func (r *Router) trySend(req *request) bool {
 	if !r.releaseKnown || float64(r.inFlight) >= r.limit {
 		return false
@@ -554,10 +606,12 @@
 	req.attempts++
 	s.inFlight++
 	r.inFlight++
-	r.emit(Send{ID: req.ID, Server: s.ID, SendBy: req.dedupExpiry(), ForwardOnly: r.settings.Rollout.ForwardOnly && req.HasKey})
+	r.emit(Send{ID: req.ID, Server: s.ID, SendBy: req.dedupExpiry(),
+		ForwardOnly: r.settings.Rollout.ForwardOnly && req.HasKey})
 	return true
 }
 
+// attemptDone records the outcome of an attempt, and retries or ends its request.
 func (r *Router) attemptDone(e AttemptDone) {
 	req := r.requests[e.ID]
 	if req == nil || !req.attemptInFlight || e.Attempt != req.attempts-1 {
@@ -572,7 +626,7 @@
 		unanswered := oneIf(e.Outcome == TimedOut || e.Outcome == Reset)
 		smooth(&r.lostParts[oneIf(req.onIdleConn)], attemptSmoothing, float64(unanswered))
 	}
-	if r.now != r.stalledAt { // Danger: a router that stood still finds its news late, and would blame others
+	if r.now != r.stalledAt { // a router that stood still sees outcomes late, and would hold servers at fault
 		r.recordOutcome(s, req, e)
 		if e.Attempt > 0 {
 			r.resolveFirstError(req, &e.Outcome)
@@ -582,8 +636,9 @@
 	}
 	if e.Outcome == OK {
 		r.servedCount++
-		if !req.sentToTrial { // else a slow build would pass for slow connecting
-			smooth(&r.latencyRatios[oneIf(req.opensConn)], attemptSmoothing, e.Duration.Seconds()/req.class.LatencyTarget.Seconds())
+		if !req.sentToTrial { // else a slow new build would look like slow connecting
+			smooth(&r.latencyRatios[oneIf(req.opensConn)], attemptSmoothing,
+				e.Duration.Seconds()/req.class.LatencyTarget.Seconds())
 		}
 		smooth(&req.class.meanSeconds, 0.05, e.Duration.Seconds())
 	}
@@ -601,18 +656,20 @@
 	r.drainQueue()
 }
 
-// connected tells that a connection to a server should be open.
+// isConnected reports whether a connection to a server should be open.
 func (r *Router) isConnected(s *server) bool {
 	return s.lastUsedAt > 0 && r.now <= s.lastUsedAt+r.settings.ConnIdleTimeout
 }
 
-// reaped tells that idle connections are dropped unseen: much more is lost on them than on others. They are
-// closed before a send then, and silent servers show at the connect; it costs handshakes meanwhile.
+// dropsIdleConns reports whether the network silently drops idle connections, that is, whether many more
+// attempts stay unanswered on them than on others. Idle connections are then closed before a send, so that a
+// server that does not answer is found at the connect. The price is additional handshakes in the meantime.
 func (r *Router) dropsIdleConns() bool {
 	return r.lostParts[1] > highIdleLoss && r.lostParts[1] > 2*r.lostParts[0]
 }
 
-// overdue counts attempts past their aim as missing at once, since a silent loss shows only at the deadline.
+// countOverdue counts attempts as lost as soon as they exceed their latency target, since an attempt that is
+// lost silently would otherwise show only at its deadline.
 func (r *Router) countOverdue() {
 	counts := [2]int{}
 	for _, req := range r.requests {
@@ -627,17 +684,20 @@
 	r.lostParts[1] *= idleLossDecay
 }
 
-// connectsSlow tells that answers on new connections come much later: new servers would pass for a bad build.
+// connectsSlowly reports whether answers on new connections take much longer. In that case new servers, which
+// need new connections, would make their build look bad.
 func (r *Router) connectsSlowly() bool {
 	return r.latencyRatios[0] > 0 && r.latencyRatios[1] > r.latencyRatios[0]+slowConnectMargin
 }
 
-// judgeServer draws what an outcome says of the server and of the load.
+// recordOutcome updates the server's health and the signals of overload from an outcome.
 func (r *Router) recordOutcome(s *server, req *request, e AttemptDone) {
-	smooth(&r.failurePart, attemptSmoothing/4, float64(oneIf(e.Outcome == TimedOut || e.Outcome == ServerError)))
+	smooth(&r.failurePart, attemptSmoothing/4,
+		float64(oneIf(e.Outcome == TimedOut || e.Outcome == ServerError)))
 	switch e.Outcome {
 	case OK:
-		if s.consecutiveFailures, s.suspectFor, s.suspectUntil = 0, 0, 0; s.ejectedUntil > 0 && !r.isOutlier(s) {
+		if s.consecutiveFailures, s.suspectFor, s.suspectUntil = 0, 0, 0; s.ejectedUntil > 0 &&
+			!r.isOutlier(s) {
 			s.ejectedUntil, s.ejectedFor = 0, 0
 		}
 	case ConnectFailed, Reset, Rejected:
@@ -657,10 +717,12 @@
 	smooth(&r.latePart, attemptSmoothing, float64(late))
 }
 
-// again tries a request once more where its class permits it, or gives the final answer at once.
+// retryOrFinish retries a request if its class permits it, and otherwise gives the final answer at once.
 func (r *Router) retryOrFinish(req *request, outcome Outcome) {
-	useless := req.attempts > 1 || r.requestFaultPart > highRequestFault && !req.sentToTrial && req.randomDraw > requestFaultRetryPart
-	exhausted := outcome == ServerError && useless || req.attempts >= r.settings.MaxAttempts || req.mayHaveRun && req.class.Repeatability == Unsafe
+	useless := req.attempts > 1 ||
+		r.requestFaultPart > highRequestFault && !req.sentToTrial && req.randomDraw > requestFaultRetryPart
+	exhausted := outcome == ServerError && useless || req.attempts >= r.settings.MaxAttempts ||
+		req.mayHaveRun && req.class.Repeatability == Unsafe
 	if exhausted || r.isDeadlineNear(req) {
 		r.finishRequest(req)
 	} else if !r.trySend(req) {
@@ -668,11 +730,13 @@
 	}
 }
 
+// isDeadlineNear reports whether too little time is left to wait for another tick.
 func (r *Router) isDeadlineNear(req *request) bool { return r.now+2*tickInterval >= req.deadline }
 
-// finish gives the final answer: a refusal where trying again is harmless, else a failure.
+// finishRequest gives the final answer: a refusal if the client may safely try again, otherwise a failure.
 func (r *Router) finishRequest(req *request) {
-	if !req.mayHaveRun || req.class.Repeatability == Safe || req.class.DedupScope == ScopeAll && r.now < req.dedupExpiry() {
+	if !req.mayHaveRun || req.class.Repeatability == Safe ||
+		req.class.DedupScope == ScopeAll && r.now < req.dedupExpiry() {
 		r.emit(Refuse{ID: req.ID, RetryAfter: r.settings.MaxRetryAfter / 2})
 	} else {
 		r.emit(Fail{ID: req.ID})
@@ -680,21 +744,23 @@
 	r.forgetRequest(req)
 }
 
-// forget drops a request that has ended; one with an attempt still out is kept for its outcome.
+// forgetRequest drops a request that has ended. While it still has an attempt in flight, it is kept for the
+// outcome.
 func (r *Router) forgetRequest(req *request) {
 	req.ended = true
 	r.resolveFirstError(req, nil)
-	r.repeatArrivals += float64(oneIf(!r.settings.MarksRetry)) // its client may well come again
+	r.repeatArrivals += float64(oneIf(!r.settings.MarksRetry)) // its client may send it again, unmarked
 	if !req.attemptInFlight {
 		delete(r.requests, req.ID)
-	} else if r.settings.CanCancel { // nobody waits for what its server may still have to do
+	} else if r.settings.CanCancel { // nobody needs the answer any more
 		r.emit(Cancel{ID: req.ID, Attempt: req.attempts - 1})
 	}
 }
 
 // ---- Overload: the limit and the queue ----
 
-// adjustLimit bounds the attempts out by how quickly answers come: late ones cut it, timely ones raise it.
+// adjustLimit adapts the concurrency limit to the latency of answers: late answers cut it by a factor, timely
+// ones raise it step by step (additive increase, multiplicative decrease).
 func (r *Router) adjustLimit() {
 	if r.limitAnswers < 5 {
 		return
@@ -704,11 +770,13 @@
 	} else if float64(r.inFlight) > 0.7*r.limit {
 		r.limit++
 	}
-	r.limit = max(r.limit, 2, initialLimitPerServer/2*float64(len(r.serverList))/float64(max(1, r.settings.RouterCount)))
+	r.limit = max(r.limit, 2,
+		initialLimitPerServer/2*float64(len(r.serverList))/float64(max(1, r.settings.RouterCount)))
 	r.limitAnswers, r.limitLate = 0, 0
 }
 
-// hold queues a request, dearest first. Danger: no tick may come in what time its client leaves; end it then.
+// enqueue adds a request to the queue, in descending order of priority and then by arrival. A request whose
+// client may give up before the next tick is ended at once, since the queue would be checked too late for it.
 func (r *Router) enqueue(req *request) {
 	if r.isDeadlineNear(req) {
 		r.finishRequest(req)
@@ -720,20 +788,25 @@
 	r.queue = slices.Insert(r.queue, i, req)
 }
 
-// drainQueue sends what can go and ends at once what can no longer be served in time; and what is worth least
-// where more is held than there is room for, else the next ones would be refused unseen. Danger: where no
-// server may be used, a search for each that waits takes all the time; one tries for all that fare alike.
+// drainQueue sends the queued requests that can go, and ends those that can no longer be served in time. It
+// also ends the least valuable ones if the router holds more requests than it may; otherwise the host would
+// refuse the next ones without regard to their value. Where no server may be used, searching for each waiting
+// request would take all the time. So the requests of a class that have the same choice of servers are tried
+// only until one of them finds none.
 func (r *Router) drainQueue() {
 	room := cmp.Or(r.settings.MaxOpenRequests, math.MaxInt) - r.inFlight
 	r.queuePass++
 	r.queue = slices.DeleteFunc(r.queue, func(req *request) bool {
 		room--
-		maxWait := min(req.class.LatencyTarget, req.TimeLeft>>oneIf(req.attempts == 0)-tickInterval) // unsent: half its time
-		tooLate := r.isDeadlineNear(req) || r.now+time.Duration(req.class.meanSeconds*1e9) > req.arrived+maxWait
+		// A request that has not been sent yet waits for half of its client's time at most.
+		maxWait := min(req.class.LatencyTarget, req.TimeLeft>>oneIf(req.attempts == 0)-tickInterval)
+		tooLate := r.isDeadlineNear(req) ||
+			r.now+time.Duration(req.class.meanSeconds*1e9) > req.arrived+maxWait
 		if !req.ended && (tooLate || room < 0) {
 			r.finishRequest(req)
 		}
-		blockedPass := &req.class.blockedPass[oneIf(req.drawnForTrial)+2*oneIf(req.randomDraw < r.baseSlowStartPart)+4*oneIf(r.keyBuilds[req.Key] == r.trialBuild)]
+		blockedPass := &req.class.blockedPass[oneIf(req.drawnForTrial)+
+			2*oneIf(req.randomDraw < r.baseSlowStartPart)+4*oneIf(r.keyBuilds[req.Key] == r.trialBuild)]
 		if req.ended || (req.attempts > 0 || *blockedPass != r.queuePass) && r.trySend(req) {
 			return true
 		}
@@ -744,19 +817,22 @@
 
 // ---- Evidence ----
 
-// evidence counts a first attempt of a class allowed at the present stage, in both arms alike, so that the
-// mix of classes is no harm. Servers that may be cold do not count. Counts go on after the release.
+// recordEvidence counts a first attempt, in both arms, if its class is allowed at the current stage. Classes
+// that only the old build may serve are left out, so that the mix of classes does not bias the comparison.
+// Servers that may still be cold do not count. Counting continues after the release.
 func (r *Router) recordEvidence(req *request, e AttemptDone) {
 	c, seconds := req.class, e.Duration.Seconds()
 	if req.sentRelease.Phase != OnTrial && e.Outcome == OK {
 		c.recentSeconds[c.nextRecent%len(c.recentSeconds)] = seconds
 		c.nextRecent++
 	}
-	closedClass := r.release.Phase == OnTrial && r.release.Stage < r.settings.Rollout.ClosedStages && c.Repeatability != Safe
+	closedClass := r.release.Phase == OnTrial && r.release.Stage < r.settings.Rollout.ClosedStages &&
+		c.Repeatability != Safe
 	group := r.groupOf(req.sentTo.Build)
-	// Danger: one sick host passes for a bad build. What a host fails in a row is its own doing while most of
-	// its build are fit, and so is what it fails far more than they, if some old ones do too; a build's first
-	// hosts may stand out by the build's doing. Connecting is no build's, be it slow or in vain.
+	// A single faulty server would make its build look bad. While most servers of its build are healthy, a
+	// server that fails several times in a row is itself at fault. The same holds for an outlier, but only if
+	// old servers are outliers too, since the first servers of a bad build may stand out because of the
+	// build. Slow or failed connecting is never attributed to a build.
 	isolated := (req.server.suspectUntil > r.now || req.server.ejectedUntil > r.now && r.hasEjectedBase()) &&
 		float64(r.healthyCount(group)) >= isolatedHealthyPart*float64(len(group.all))
 	unrelated := e.Outcome == ConnectFailed || isolated || req.opensConn && r.connectsSlowly()
@@ -765,9 +841,12 @@
 		req.sentRelease.Build != r.release.Build {
 		return
 	}
-	measured := c.slowThreshold > 0 && !(r.inFlightUnshared && req.opensConn) // met anew at nearly all requests
-	outcome := Arm{Attempts: 1, Missed: oneIf(e.Outcome != OK || e.Duration > c.LatencyTarget), Errors: oneIf(e.Outcome == ServerError),
-		Measured: oneIf(measured), Slow: oneIf(measured && seconds > c.slowThreshold)}
+	// A router that gets no in-flight counts is idle enough to open connections for nearly all requests to
+	// new servers, so latency on new connections is not compared.
+	measured := c.slowThreshold > 0 && !(r.inFlightUnshared && req.opensConn)
+	outcome := Arm{Attempts: 1, Missed: oneIf(e.Outcome != OK || e.Duration > c.LatencyTarget),
+		Errors: oneIf(e.Outcome == ServerError), Measured: oneIf(measured),
+		Slow: oneIf(measured && seconds > c.slowThreshold)}
 	req.firstOutcome = firstOutcome{Arm: outcome, build: req.sentTo.Build, release: req.sentRelease}
 	if e.Outcome != OK {
 		req.firstOutcome.failedServer = req.server
@@ -777,16 +856,20 @@
 	}
 }
 
-// second judges an error by how the request fared at another server: where it failed there too, the request
-// is at fault and does not count. Danger: requests that fail anywhere pass for a burst, and for a bad build.
-// Nor does one that a second try could judge and has not (o nil), or where most are the requests' own. It
-// hurts where a build fails nearly all of a class after its release: fewer of its errors count.
+// resolveFirstError decides whether the error of a first attempt counts, by the outcome of the request's
+// attempt at another server. If that failed too, the request is at fault and does not count; otherwise
+// requests that fail at any server would look like a burst of demand and like a bad build. An error does not
+// count either if a second attempt could have told but gave no result (outcome is nil if there was none), or
+// if most errors are the requests' fault. The price: if a released build fails nearly all requests of a
+// class, fewer of its errors count.
 func (r *Router) resolveFirstError(req *request, outcome *Outcome) {
 	if req.firstOutcome.Errors == 0 {
 		return
 	}
 	requestFault := r.requestFaultPart > highRequestFault || req.class.Repeatability != Unsafe
-	noComparison := len(r.base.all) == 0 || r.release.Phase == Released && r.now < r.stageStart+fleetSlowdownTime // no other to ask
+	// There is no server of another build to compare with.
+	noComparison := len(r.base.all) == 0 ||
+		r.release.Phase == Released && r.now < r.stageStart+fleetSlowdownTime
 	if outcome != nil && (*outcome == OK || *outcome == ServerError) {
 		requestFault = *outcome != OK
 		smooth(&r.requestFaultPart, attemptSmoothing, float64(oneIf(requestFault)))
@@ -798,11 +881,11 @@
 	r.countFirstAttempt(req)
 }
 
-// disputed counts a flagged answer, counted as served before, as failed.
+// countDisputed counts an answer that a client found wrong as failed; it was counted as served before.
 func (r *Router) countDisputed(e AnswerDisputed) {
 	s := r.servers[e.Server]
 	if s == nil || r.now-e.AttemptAge < s.Started {
-		return // the build that gave the answer is not known any more
+		return // the server's build at that time is not known any more
 	}
 	for _, c := range []*Counts{&r.buildCounts, &r.stageCounts} {
 		a := c.arm(s.Build == r.release.Build)
@@ -812,8 +895,8 @@
 	}
 }
 
-// setMarks keeps, at the start of a trial, the time that slowPart of the answers of each class stayed
-// under before it.
+// setSlowThresholds sets, at the start of a trial, each class's slow threshold to the slowQuantile of the
+// latencies before the trial.
 func (r *Router) setSlowThresholds() {
 	for _, c := range r.classes {
 		if n := min(c.nextRecent, len(c.recentSeconds)); n >= minBaselineAnswers {
@@ -823,28 +906,33 @@
 	}
 }
 
-// report tells the voters the counts. Danger: reports of all to all grow with the square of the tier, and
-// most routers have little to tell; so how often follows from what the requests taken pay for.
+// sendReport sends the router's counts to the voters. The traffic of reports between all routers would grow
+// with the square of their number, and most routers have little to report. So the interval follows from a
+// number of bytes that is allowed per request received.
 func (r *Router) sendReport() {
 	if r.now < r.nextReportAt {
 		return
 	}
 	data := r.ownReport().Encode()
-	r.nextReportAt = r.now + min(max(r.messageInterval(len(data)*votersPerBuild, reportBytesPerRequest), reportInterval), 8*reportInterval)
+	r.nextReportAt = r.now + min(max(r.messageInterval(len(data)*votersPerBuild, reportBytesPerRequest),
+		reportInterval), 8*reportInterval)
 	for _, v := range r.voters {
-		if v != r.settings.Self && (r.release.Phase == OnTrial || r.release.Phase == Released && r.buildCounts.Old.Attempts > 0) {
+		if v != r.settings.Self && (r.release.Phase == OnTrial ||
+			r.release.Phase == Released && r.buildCounts.Old.Attempts > 0) {
 			r.emit(Post{Peer: v, Data: data})
 		}
 	}
 }
 
-// paid is the time in which the requests taken pay for so many bytes of messages.
+// messageInterval returns the time in which the router receives enough requests to allow a number of bytes.
 func (r *Router) messageInterval(bytes int, perRequest float64) time.Duration {
 	return time.Duration(float64(bytes) / max(0.1, perRequest*r.requestRate) * 1e9)
 }
 
-// share tells all peers what is in flight, and where attempts have failed, if that is paid for while fresh;
-// if not, only the failures, which are few and dear to learn. It forgets what silent peers have in flight.
+// sendInFlight sends all peers the attempts in flight and the servers where attempts have failed, if the
+// router may do that before the previous report expires. Otherwise it sends only the failures, which are few
+// and costly to discover. It also discards the in-flight reports of peers that have sent nothing for
+// inFlightTTL.
 func (r *Router) sendInFlight() {
 	if r.now < r.nextInFlightAt {
 		return
@@ -859,7 +947,8 @@
 		}
 	}
 	interval := func(m InFlightReport) time.Duration {
-		return max(r.messageInterval((messageOverheadBytes+len(m.Encode()))*(r.settings.RouterCount-1), inFlightBytesPerRequest), inFlightTTL/10)
+		return max(r.messageInterval((messageOverheadBytes+len(m.Encode()))*(r.settings.RouterCount-1),
+			inFlightBytesPerRequest), inFlightTTL/10)
 	}
 	period := interval(all)
 	if r.inFlightUnshared = period > inFlightTTL; r.inFlightUnshared {
@@ -880,7 +969,7 @@
 	}
 }
 
-// hear takes a peer's message; what is malformed or impossible is dropped.
+// receive processes a message from a peer. Malformed and impossible messages are dropped.
 func (r *Router) receive(e PeerMessage) {
 	if e.From < 0 || e.From >= r.settings.RouterCount || e.From == r.settings.Self {
 		return
@@ -901,20 +990,21 @@
 		return
 	}
 	key := peerKey{e.From, report.Incarnation}
-	if _, known := r.peerReports[key]; !known { // Danger: spoilt messages name lives that never were, without end
+	if _, known := r.peerReports[key]; !known { // corrupt messages could bring any number of incarnations
 		if r.peerIncarnations[e.From]++; r.peerIncarnations[e.From] > maxIncarnations {
 			return
 		}
 	}
-	if !report.isOlderThan(r.peerReports[key]) { // else it has come late
+	if !report.isOlderThan(r.peerReports[key]) { // otherwise it was delayed on the way
 		r.peerReports[key], r.latestReports[e.From] = report, report
 	}
 }
 
-// ---- The test ----
+// ---- The statistical test ----
 
-// harm gives the p-value of "the new build has not a larger part of bad outcomes than the old one, by more
-// than the margin".
+// harmPValue returns the p-value of the hypothesis that the new build's part of bad outcomes exceeds the old
+// build's by no more than margin. It runs the two-armed bandit walk over random orderings of the outcomes,
+// and combines their p-values by the Cauchy combination test.
 func harmPValue(rng *rand.Rand, oldN, oldBad, newN, newBad uint32, margin float64) float64 {
 	nNew, nOld := float64(newN), float64(oldN)
 	n := nNew + nOld
@@ -927,12 +1017,12 @@
 		slices.Repeat([]float64{diff - mOld/(1-p)}, int(oldBad)),
 		slices.Repeat([]float64{diff - (1-mNew)/p}, int(newN-newBad)),
 		slices.Repeat([]float64{diff + mNew/p}, int(newBad)))
-	square := 0.0 // the mean of mu is diff, since the residuals of each arm sum to nothing
+	square := 0.0 // the mean of mu is diff, since the residuals of each arm sum to 0
 	for _, v := range mu {
 		square += (v - diff) * (v - diff)
 	}
 	if n < 2 || square < 1e-12 {
-		return 1 // sigma 0: nothing speaks against the build
+		return 1 // no variance, so no evidence against the build
 	}
 	scale := 1 / (math.Sqrt(n) * math.Sqrt(square/(n-1)))
 	t := 0.0
@@ -944,7 +1034,8 @@
 	return 0.5 - math.Atan(t)/math.Pi
 }
 
-// walk is the two-armed bandit's path: it adds while its sum is positive, else subtracts.
+// walk returns the end of the two-armed bandit's walk: it adds the next value while its sum is positive, and
+// subtracts it otherwise. The first value is added if up is set.
 func walk(mu []float64, scale float64, up bool) float64 {
 	sum := 0.0
 	for i, v := range mu {
@@ -958,7 +1049,7 @@
 
 // ---- Votes ----
 
-// votersOf names the routers that vote on a build, in the order in which they do.
+// votersOf returns the routers that vote on a build, in the order in which they vote.
 func (r *Router) votersOf(b BuildID) []int {
 	chosen := make([]int, 0, votersPerBuild+1)
 	for i := range r.settings.RouterCount {
@@ -971,6 +1062,7 @@
 	return chosen
 }
 
+// hash mixes two numbers into a well-distributed one (SplitMix64).
 func hash(a, b uint64) uint64 {
 	x := a<<32 + b + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -978,12 +1070,13 @@
 	return x ^ x>>31
 }
 
-// news takes the platform's word on the newest build, told unasked or in reply to a vote.
+// updateRelease processes the platform's status of the newest build, which comes unasked or in reply to a
+// vote.
 func (r *Router) updateRelease(e ReleaseStatus) {
 	if e.IsReply {
 		r.vote.pendingSince, r.vote.castAt = 0, r.now+voteRetryPause
 		if e.Reply != VoteCounted {
-			return // only a vote that counts brings news
+			return // only the reply to a vote that counts carries a status
 		}
 		r.vote.castAt = r.now + max(r.settings.Rollout.VoteTTL-voteRenewLead, voteRetryPause)
 	}
@@ -995,11 +1088,11 @@
 	r.rejectedBuilds[e.Build] = e.Phase == RollingBack || e.Phase == Withdrawn
 	for k, b := range r.budgets {
 		if k.build == e.Build && e.Cap < previous.Cap {
-			b.earned = 0 // a lower cap counts anew
+			b.earned = 0 // what was earned under a higher cap is void
 		}
 	}
 	if !wasKnown || previous.Build != e.Build || previous.Stage != e.Stage || previous.Phase != e.Phase {
-		if previous.Build != e.Build || !wasKnown { // what was usual is not known after a restart
+		if previous.Build != e.Build || !wasKnown { // the usual demand is not known after a restart
 			r.voters, r.buildCounts, r.baselineSlowPart = r.votersOf(e.Build), Counts{}, 1-slowQuantile
 			r.usualDemand = max(r.demand, 0.01) * float64(oneIf(wasKnown))
 			r.setSlowThresholds()
@@ -1008,7 +1101,7 @@
 				s.buildErrors = 0
 			}
 			r.errorSpans = errorSpans{endsAt: r.now}
-			if !wasKnown { // what the others counted before this start comes in a heap
+			if !wasKnown { // the first reports of peers contain all that they counted before this start
 				r.errorSpans = errorSpans{endsAt: r.now + 8*reportInterval, skip: true}
 			}
 		}
@@ -1019,8 +1112,9 @@
 	r.drainQueue()
 }
 
-// ballot tests once a stage, at the horizon or by time-out, and casts or renews the vote. The guard may
-// send a build back at any time until the next is offered.
+// testAndVote runs the main test once per stage, when the sample is large enough or the stage timeout has
+// passed, and casts or renews the vote. The guards errorsIncreased and fleetSlowed may vote to roll a build
+// back at any time until the next build is announced.
 func (r *Router) testAndVote() {
 	rank := slices.Index(r.voters, r.settings.Self)
 	if rank < 0 || r.release.Phase != OnTrial && r.release.Phase != Released {
@@ -1034,7 +1128,8 @@
 	}
 	verdict, why := VoteNone, ""
 	if v.verdict != VoteRollBack && r.now >= v.nextGuardAt {
-		v.nextGuardAt = r.now + guardInterval/time.Duration(1+4*oneIf(r.release.Cap >= fleetSlowdownCap)) // it goes on soon
+		// With a high cap, the build advances soon, so the guards run more often.
+		v.nextGuardAt = r.now + guardInterval/time.Duration(1+4*oneIf(r.release.Cap >= fleetSlowdownCap))
 		if r.errorsIncreased(total) {
 			verdict, why = VoteRollBack, "errors"
 		} else if r.fleetSlowed(stage) {
@@ -1042,7 +1137,7 @@
 		}
 	}
 	if !v.tested && r.release.Phase == OnTrial && verdict == VoteNone {
-		due, earliest := r.stageStart+2*stageTimeout, r.stageStart+2*stageTimeout // also if none gets listed
+		due, earliest := r.stageStart+2*stageTimeout, r.stageStart+2*stageTimeout // if no server gets listed
 		if r.newestListedAt > r.stageStart {
 			due, earliest = r.newestListedAt+stageTimeout, r.newestListedAt+r.settings.Rollout.MinStageTime
 		}
@@ -1051,10 +1146,12 @@
 		}
 		oldArm, newArm := stage.Old, stage.New
 		verdict, why = VoteAdvance, "no harm seen"
-		if harmPValue(r.rng, oldArm.Attempts, oldArm.Missed, newArm.Attempts, newArm.Missed, missedMargin) < significanceLevel {
+		if harmPValue(r.rng, oldArm.Attempts, oldArm.Missed, newArm.Attempts, newArm.Missed,
+			missedMargin) < significanceLevel {
 			verdict, why = VoteRollBack, "served less in time"
 		} else if newArm.Measured >= testSampleSize &&
-			harmPValue(r.rng, oldArm.Measured, oldArm.Slow, newArm.Measured, newArm.Slow, slowMargin) < significanceLevel {
+			harmPValue(r.rng, oldArm.Measured, oldArm.Slow, newArm.Measured, newArm.Slow,
+				slowMargin) < significanceLevel {
 			verdict, why = VoteRollBack, "slower answers"
 		}
 	}
@@ -1064,50 +1161,64 @@
 		r.emit(Log{fmt.Sprintf("build %d stage %d: %s; old, new (n miss err slow wrong): %v total %v",
 			r.release.Build, r.release.Stage, why, stage, total)})
 	}
-	advancesAlone := v.verdict == VoteAdvance && r.settings.Rollout.AutoAdvance // the stage does by itself
-	if !v.tested || advancesAlone || v.pendingSince != 0 && r.now < v.pendingSince+r.settings.Rollout.VoteTimeout+voteRetryPause || r.now < v.castAt {
+	advancesAlone := v.verdict == VoteAdvance && r.settings.Rollout.AutoAdvance // no vote needed
+	if !v.tested || advancesAlone ||
+		v.pendingSince != 0 && r.now < v.pendingSince+r.settings.Rollout.VoteTimeout+voteRetryPause ||
+		r.now < v.castAt {
 		return
 	}
 	v.pendingSince = r.now
 	r.emit(Vote{Build: r.release.Build, Stage: r.release.Stage, Verdict: v.verdict})
 }
 
-// guard is the exception for builds that turn bad after their test: late, under load, for a class that was
-// closed, or by few wrong answers, of which only a part is flagged. The same walk compares errors, at less
-// than the main test's margin; the exact tail tells a few errors of few answers, where the walk can't yet:
-// healthy builds hardly ever err, so asking often costs good ones little. Danger: a new build gets most of
-// its answers late in a trial, the old one early; when hosts begin to fail meanwhile, the sums speak against
-// the new one. So each span's errors are held against the old build's in the same span. Danger: a few sick
-// servers give most of the errors, and a build that got more of them passes for a bad one; so answers count
-// for less where the old build's servers fail unevenly. It hurts a bad build that comes amid sick servers.
+// errorsIncreased is the guard against builds that become bad after the main test: late, under load, for a
+// class that was closed, or by few wrong answers, of which only a part is disputed. It compares errors by the
+// same walk with a smaller margin than the main test's. With few errors among few answers, where the walk has
+// no power yet, it uses the exact Poisson tail. Healthy builds hardly ever answer with errors, so frequent
+// tests cost them little.
+//
+// A new build gets most of its answers late in a trial, the old one early. If servers begin to fail
+// meanwhile, a comparison of the sums would disfavor the new build; so each span's errors are compared with
+// the old build's in the same span. A few faulty servers give most of the errors, and a build that got more
+// such servers would look bad; so answers count for less where the old build's servers fail unevenly (see
+// designEffect). The price is that a bad build that arrives while servers are faulty is detected later.
 func (r *Router) errorsIncreased(total Counts) bool {
 	s := r.errorSpans
 	s.close(total, spanPriorAnswers, r.designEffect())
-	rate, old, answers, errors := s.baselineErrorRate(), s.baselineWeight(), uint32(s.answers+0.5), uint32(max(0, s.errors)+0.5)
+	rate, old, answers, errors := s.baselineErrorRate(), s.baselineWeight(),
+		uint32(s.answers+0.5), uint32(max(0, s.errors)+0.5)
 	threshold := rate + errorMargin
-	return errors >= minGuardErrors && s.errors/s.answers > threshold && (poissonTail(s.answers*threshold, errors) < significanceLevel/20 ||
-		harmPValue(r.rng, uint32(old), uint32(rate*old+0.5), max(answers, errors), errors, errorMargin) < significanceLevel)
+	return errors >= minGuardErrors && s.errors/s.answers > threshold &&
+		(poissonTail(s.answers*threshold, errors) < significanceLevel/20 ||
+			harmPValue(r.rng, uint32(old), uint32(rate*old+0.5), max(answers, errors), errors,
+				errorMargin) < significanceLevel)
 }
 
-// slowed is the exception for a build that slows all servers in step with its own traffic, so that old minus
-// new shows nothing: the walk compares each arm with the time before the trial; both must have slowed, else
-// sick servers are the cause. It hurts where much of a fleet is lost as a build has got much traffic.
+// fleetSlowed is the guard against a build that slows the servers of both builds in proportion to its own
+// traffic, so that a comparison of the two shows no difference. The walk compares each arm with the time
+// before the trial. Both must have become slower; otherwise faulty servers are the cause. The price is that
+// it may reject a build that got much traffic just as a large part of the fleet was lost.
 func (r *Router) fleetSlowed(stage Counts) bool {
-	wideExposure := r.release.Cap >= fleetSlowdownCap && (r.release.Phase == OnTrial || r.now < r.stageStart+fleetSlowdownTime)
+	wideExposure := r.release.Cap >= fleetSlowdownCap &&
+		(r.release.Phase == OnTrial || r.now < r.stageStart+fleetSlowdownTime)
 	demand, usualDemand, baseline := r.pooledDemand()
-	r.vote.otherCause = r.vote.otherCause || r.connectsSlowly() || demand >= highDemandMultiple*usualDemand // counts hold another cause
-	if old := stage.Old; r.release.Stage == 0 && !wideExposure && !r.vote.otherCause && old.Measured >= testSampleSize {
-		r.baselineSlowPart = max(1-slowQuantile, ratio(old.Slow, old.Measured)) // not the build's doing yet
+	// Once there is another cause, the stage's counts contain its effect.
+	r.vote.otherCause = r.vote.otherCause || r.connectsSlowly() || demand >= highDemandMultiple*usualDemand
+	if old := stage.Old; r.release.Stage == 0 && !wideExposure && !r.vote.otherCause &&
+		old.Measured >= testSampleSize {
+		r.baselineSlowPart = max(1-slowQuantile, ratio(old.Slow, old.Measured)) // not yet due to the build
 	}
-	stage.Old = map[bool]Arm{true: stage.Old}[len(r.base.all) > 0] // of earlier servers, if some are left
+	stage.Old = map[bool]Arm{true: stage.Old}[len(r.base.all) > 0] // only if old servers are left
 	if !wideExposure || r.vote.otherCause || max(stage.Old.Measured, stage.New.Measured) < testSampleSize {
 		return false
 	}
-	severe := r.release.Phase == OnTrial && r.highestLatencyRatio() > fleetSeverePart // else it would have to be late already
+	severe := r.release.Phase == OnTrial && r.highestLatencyRatio() > fleetSeverePart // see fleetMissedPart
 	for _, now := range []Arm{stage.Old, stage.New} {
 		slow := uint32(r.baselineSlowPart * float64(baseline))
-		slowIncrease, missedPart := ratio(now.Slow, now.Measured)-ratio(slow, baseline), ratio(now.Missed, now.Attempts)
-		if now.Measured >= testSampleSize && (slowIncrease <= fleetSlowMargin || missedPart < fleetMissedPart && (!severe || slowIncrease <= fleetSeverePart) ||
+		slowIncrease, missedPart := ratio(now.Slow, now.Measured)-ratio(slow, baseline),
+			ratio(now.Missed, now.Attempts)
+		if now.Measured >= testSampleSize && (slowIncrease <= fleetSlowMargin ||
+			missedPart < fleetMissedPart && (!severe || slowIncrease <= fleetSeverePart) ||
 			harmPValue(r.rng, baseline, slow, now.Measured, now.Slow, fleetSlowMargin) >= significanceLevel) {
 			return false
 		}
