--- a/logic/api.go
+++ b/logic/api.go
@@ -1,33 +1,38 @@
-// Package logic decides, for one router, where requests go and how it votes on a build under rollout.
+// Package logic decides, for one router, which server gets each attempt at a request, and how the router votes on a
+// build that is being rolled out.
 //
-// The package is pure: no clock, I/O, goroutines or globals. A host (the simulator's adapter today, a
-// socket server or an external processor later) feeds events with the present time and carries out the
-// returned actions. Times are offsets from an arbitrary origin that only grow.
+// The package is pure: it has no clock, I/O, goroutines or global state. Its host (the simulator's adapter or the
+// gateway) passes events with the current time to Router.Handle and carries out the returned actions. Times are offsets
+// from an arbitrary origin and never decrease.
+//
+// The exposure of a build is the part of the requests that are sent to it while it is on trial; the release platform
+// caps it. Routers compare the outcomes at the new build with those at the old one and vote on whether the rollout
+// advances to the next stage.
 package logic
 
 import "time"
 
-// Identifiers handed out by the host; they are opaque and returned as received.
+// Identifiers that the host hands out. They are opaque and are returned as received.
 type (
 	RequestID string
 	ServerID  uint64
 	BuildID   int
 )
 
-// Repeatability tells what may be done again with a request of a class.
+// Repeatability says under which conditions a request of a class may be repeated.
 type Repeatability int
 
-// Classes of repetition, from the freest to the strictest.
+// Repeatabilities, from the least to the most restrictive.
 const (
 	Safe   Repeatability = iota // may run any number of times
-	Keyed                       // a group of servers drops repeats for a while
-	Unsafe                      // must never run twice
+	Keyed                       // a group of servers deduplicates repeats for some time
+	Unsafe                      // must never run more than once
 )
 
-// DedupScope is the group of servers that drops repeats of a keyed request.
+// DedupScope is the group of servers that deduplicates repeats of a keyed request.
 type DedupScope int
 
-// Scopes of deduplication.
+// Deduplication scopes: all servers, those of one zone, or those of one cell.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
@@ -39,14 +44,14 @@
 	Name          string
 	Repeatability Repeatability
 	DedupScope    DedupScope
-	DedupWindow   time.Duration
-	LatencyTarget time.Duration // an answer within this earns the full worth
+	DedupWindow   time.Duration // how long servers deduplicate repeats of a Keyed request
+	LatencyTarget time.Duration // an answer within this time earns the full worth
 	Deadline      time.Duration
 	Worth         float64
-	LateValue     float64
+	LateValue     float64 // worth of an answer after the latency target
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer with a share of the service's capacity.
 type Tenant struct {
 	Name  string
 	Quota float64 // requests per second over all routers
@@ -55,51 +60,51 @@
 
 // Rollout holds the release platform's settings.
 type Rollout struct {
-	StageShare     []float64 // per stage: share of the fleet's places
-	StageCap       []float64 // per stage: cap on exposure
-	ExposureWindow time.Duration
-	FreeAttempts   float64
-	BudgetPerClass bool
-	ClosedStages   int // below this stage only Safe classes may try the build
-	ForwardOnly    bool
-	RollingUpdate  bool // earlier servers drain as their successors run
-	WarmKeys       bool // servers work faster for keys met lately
-	MinStageTime   time.Duration
-	VoteTTL        time.Duration
-	VoteTimeout    time.Duration
-	VotesPerSec    float64
-	AutoAdvance    bool // stages advance on their own; votes can only hold or send back
+	StageShare     []float64     // per stage: part of the fleet's places that run the new build
+	StageCap       []float64     // per stage: cap on the exposure
+	ExposureWindow time.Duration // time over which the cap is enforced
+	FreeAttempts   float64       // attempts per window that are allowed regardless of the cap
+	BudgetPerClass bool          // the cap applies to each class separately
+	ClosedStages   int           // below this stage only Safe classes may use the new build
+	ForwardOnly    bool          // a key that a build has answered must not go back to an older build
+	RollingUpdate  bool          // old servers drain as their replacements start
+	WarmKeys       bool          // servers work faster for recently used keys
+	MinStageTime   time.Duration // least time from the newest server's listing to the test
+	VoteTTL        time.Duration // a vote expires after this time
+	VoteTimeout    time.Duration // timeout of a call that casts a vote
+	VotesPerSec    float64       // votes per second that the platform accepts
+	AutoAdvance    bool          // stages advance without votes; votes can only hold or roll back
 }
 
-// Settings is what a router learns at start-up.
+// Settings holds what a router knows at startup.
 type Settings struct {
-	Self, RouterCount int
+	Self, RouterCount int // this router's number, from 0; the number of all routers
 	Zone              string
 	Classes           []Class
 	Tenants           []Tenant
 	Rollout           Rollout
 	MaxAttempts       int
-	MaxOpenRequests   int // requests that the host can hold open for it; zero: any number
+	MaxOpenRequests   int // requests that the host can hold open for the router; 0: any number
 	MaxRetryAfter     time.Duration
-	MarksRetry        bool // clients mark their repeats
-	CanProbe          bool
-	CanPost           bool
-	CanCancel         bool
-	WatchDiscovery    bool // discovery must be asked for changes
-	WatchWithin       time.Duration
-	ClockResolution   time.Duration
-	DrainGrace        time.Duration
-	ConnIdleTimeout   time.Duration // idle connections are closed after this long
-	ColdCapacity      float64
-	WarmUpTime        time.Duration
-	OverloadMultiple  float64
-	OverloadTime      time.Duration
-	CrossZoneCost     float64 // price of a request that crosses zones
-	HandshakeCost     float64 // price of a new connection for each request
-	OverShareWorth    float64 // worth of a request beyond its tenant's share
+	MarksRetry        bool          // clients mark their repeats
+	CanProbe          bool          // the host supports Probe
+	CanPost           bool          // the host supports Post
+	CanCancel         bool          // the host supports Cancel
+	WatchDiscovery    bool          // the router has to ask discovery for changes
+	WatchWithin       time.Duration // the time within which it has to ask
+	ClockResolution   time.Duration // granularity of the host's times
+	DrainGrace        time.Duration // how long after a server's drain a router may still send it new attempts
+	ConnIdleTimeout   time.Duration // idle connections are closed after this time
+	ColdCapacity      float64       // part of its capacity that a server has when it starts
+	WarmUpTime        time.Duration // a server reaches its full capacity after this time
+	OverloadMultiple  float64       // a cold server fails if it gets more than this multiple of what it can do,
+	OverloadTime      time.Duration // measured over this time
+	CrossZoneCost     float64       // cost of a request that crosses zones
+	HandshakeCost     float64       // cost of a new connection for each request
+	OverShareWorth    float64       // factor on the worth of a request beyond its tenant's share
 }
 
-// ServerState is a server's place in its life.
+// ServerState is the state of a server in discovery's list.
 type ServerState int
 
 // States of a listed server.
@@ -117,18 +122,18 @@
 	Cell    int
 	State   ServerState
 	Weight  float64
-	Started time.Duration // zero: long ago
+	Started time.Duration // 0: long ago
 }
 
-// Load is a server's load report; a value that was not reported is negative.
+// Load is a server's load report. A value that was not reported is negative.
 type Load struct {
 	InFlight, Queue, Utilization, RatePerSec float64
 }
 
-// Outcome is how an attempt or probe ended.
+// Outcome is the result of an attempt or probe.
 type Outcome int
 
-// Outcomes of attempts.
+// Outcomes of attempts and probes, with whether the request may have been executed.
 const (
 	OK            Outcome = iota
 	ServerError           // may have run
@@ -140,23 +145,23 @@
 	NotSent               // never ran
 )
 
-// MayHaveRun tells whether an attempt with this outcome may have taken effect.
+// MayHaveRun reports whether an attempt with this outcome may have been executed.
 func (o Outcome) MayHaveRun() bool {
 	return o != Rejected && o != ConnectFailed && o != NotSent
 }
 
-// Event is one thing that happened to the router.
+// Event is an input of Router.Handle. Its type is one of those below.
 type Event any
 
 // Events.
 type (
-	// ServersListed brings discovery's news. Servers is shared: read it only.
+	// ServersListed carries a list from discovery, or changes to it. Servers is shared and must not be changed.
 	ServersListed struct {
 		Full    bool // the complete list, not just changes
-		Failed  bool // an asked call failed or the subscription broke; no entries
+		Failed  bool // a call failed or the subscription broke; there are no entries
 		Servers []Server
 	}
-	// RequestArrived hands a request to the router, which owes one final answer.
+	// RequestArrived hands a request to the router, which has to give it exactly one final answer.
 	RequestArrived struct {
 		ID           RequestID
 		Class        string
@@ -164,51 +169,51 @@
 		Key          uint64
 		HasKey       bool
 		TimeLeft     time.Duration // until the client gives up
-		ExpectedWork time.Duration // expected work; zero where unknown
-		MarkedRetry  bool          // marked by the client as a repeat
-		RequiredZone string        // only servers there will do; empty: any
+		ExpectedWork time.Duration // 0: unknown
+		MarkedRetry  bool          // the client marked it as a repeat
+		RequiredZone string        // only servers there may serve it; empty: any
 	}
-	// AnswerStarted tells that a streamed answer has begun.
+	// AnswerStarted reports that a streamed answer has begun.
 	AnswerStarted struct {
 		ID      RequestID
 		Attempt int
 	}
-	// AttemptDone ends an attempt.
+	// AttemptDone reports the end of an attempt.
 	AttemptDone struct {
 		ID           RequestID
 		Outcome      Outcome
 		Duration     time.Duration
 		Server       ServerID
 		Attempt      int
-		RequestEnded bool // the request has ended
-		AnswerBegun  bool // a good answer had begun to come, though it is of no use
+		RequestEnded bool // the request has ended too
+		AnswerBegun  bool // a good answer had begun to arrive, though it cannot be used
 		Load         *Load
 	}
 	// ClientGone ends a request without an answer.
 	ClientGone struct{ ID RequestID }
-	// TimerFired brings back a timer's token.
+	// TimerFired reports that a timer has expired, with the token of its SetTimer.
 	TimerFired struct{ Token uint64 }
-	// ProbeDone answers a Probe.
+	// ProbeDone reports the result of a Probe.
 	ProbeDone struct {
 		Server   ServerID
 		Outcome  Outcome
 		Duration time.Duration
 		Load     *Load
 	}
-	// PeerMessage is another router's message.
+	// PeerMessage is a message from another router.
 	PeerMessage struct {
 		From int
 		Data []byte
 	}
-	// ReleaseStatus is the platform's news on the newest build, or its reply to a vote.
+	// ReleaseStatus is the platform's status of the newest build, or its reply to a vote.
 	ReleaseStatus struct {
 		Build    BuildID
 		Stage    int
 		Phase    Phase
 		IsReply  bool
-		Reply    VoteReply
-		Cap      float64
-		StageAge time.Duration
+		Reply    VoteReply // if IsReply; the other fields are valid only with VoteCounted
+		Cap      float64   // on the exposure
+		StageAge time.Duration // since the stage began
 	}
 	// BuildTally is the platform's own sample of outcomes.
 	BuildTally struct {
@@ -221,14 +226,14 @@
 	AnswerDisputed struct {
 		Server     ServerID
 		Class      string
-		AttemptAge time.Duration // since that attempt was sent
+		AttemptAge time.Duration // since the attempt was sent
 	}
 )
 
-// Phase is where the newest build stands.
+// Phase is the phase of the newest build's rollout.
 type Phase int
 
-// Phases of a build.
+// Phases of a rollout.
 const (
 	OnTrial Phase = iota
 	RollingBack
@@ -236,7 +241,7 @@
 	Withdrawn
 )
 
-// VoteReply is how the platform took a vote.
+// VoteReply is the platform's reply to a vote.
 type VoteReply int
 
 // Replies to votes.
@@ -245,13 +250,13 @@
 	VoteStale
 	VoteThrottled
 	VoteError
-	VoteTimedOut // may count
+	VoteTimedOut // the vote may count
 )
 
-// Verdict is what a vote asks for.
+// Verdict is the content of a vote.
 type Verdict int
 
-// Verdicts.
+// Verdicts: none, advance to the next stage, hold the stage, or roll the build back.
 const (
 	VoteNone Verdict = iota
 	VoteAdvance
@@ -259,15 +264,15 @@
 	VoteRollBack
 )
 
-// Action is one thing the host is asked to do, in order.
+// Action is an instruction to the host, which carries out actions in order. Its type is one of those below.
 type Action any
 
 // Actions.
 type (
-	// Send starts an attempt; a zero Timeout means until the client gives up. LeaveBy is the latest time at which its
-	// first byte may go out, where a repeat is cheap for a while only; zero: any. Forward is set where a key may not go back
-	// to an earlier build: once this attempt has left, and again once it is answered, none for the same key that was
-	// decided before, and for an earlier build, may leave any more.
+	// Send starts an attempt. With a Timeout of 0 it may take until the client gives up. SendBy is the latest time at
+	// which its first byte may be sent, for repeats that are safe only for a limited time; 0: any time. ForwardOnly is
+	// set where a key must not go back to an older build: once this attempt has been sent, and again once it is
+	// answered, no attempt for the same key that was decided earlier and goes to an older build may be sent.
 	Send struct {
 		ID          RequestID
 		Server      ServerID
@@ -275,28 +280,28 @@
 		SendBy      time.Duration
 		ForwardOnly bool
 	}
-	// Cancel stops waiting for an attempt.
+	// Cancel gives up an attempt.
 	Cancel struct {
 		ID      RequestID
 		Attempt int
 	}
-	// Close shuts the idle connections to a server.
+	// Close closes the idle connections to a server.
 	Close struct{ Server ServerID }
-	// Refuse is a final answer: trying again is harmless.
+	// Refuse gives the final answer that the client may safely try again.
 	Refuse struct {
 		ID         RequestID
 		RetryAfter time.Duration
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail gives the final answer that the request failed; it may have been executed.
 	Fail struct{ ID RequestID }
-	// SetTimer asks for a TimerFired.
+	// SetTimer requests a TimerFired with this token.
 	SetTimer struct {
 		After time.Duration
 		Token uint64
 	}
-	// Probe checks a server.
+	// Probe requests a health check of a server.
 	Probe struct{ Server ServerID }
-	// Post sends a message to one peer, or to all when Peer is negative.
+	// Post sends a message to one peer, or to all peers if Peer is negative.
 	Post struct {
 		Peer int
 		Data []byte
@@ -309,6 +314,6 @@
 	}
 	// Watch subscribes to discovery's changes.
 	Watch struct{}
-	// Log adds a line to the host's log.
+	// Log writes a line to the host's log.
 	Log struct{ Text string }
 )
--- a/logic/report.go
+++ b/logic/report.go
@@ -5,45 +5,45 @@
 	"errors"
 )
 
-// Arm counts first attempts at one build: all, those not served within the aim, those answered with an
-// error, those with a mark kept from before the trial to be measured by, those slower than it, and those
-// that a client found wrong.
+// Arm counts first attempts at one build: all of them, those not served within the latency target, those answered
+// with an error, those measured against a slow threshold from before the trial, those slower than it, and those whose
+// answer a client found wrong.
 type Arm struct{ Attempts, Missed, Errors, Measured, Slow, Wrong uint32 }
 
-// Counts holds both arms of a trial.
+// Counts holds the control arm (the old build) and the treatment arm (the new build) of a trial.
 type Counts struct{ Old, New Arm }
 
-// Report is one router's cumulative counts for one stage of one build, and for all its stages so far. The
-// incarnation tells a restarted router's counts from those it gave before.
+// Report holds one router's cumulative counts for one stage of one build, and for all of its stages so far. The
+// incarnation distinguishes the counts of a restarted router from those before the restart.
 type Report struct {
 	Incarnation     uint32
 	Build           BuildID
 	Stage           int
-	StageCounts     Counts // of the stage
-	BuildCounts     Counts // of the build
-	Demand          uint16 // new requests, hundredths a second, now and
-	UsualDemand     uint16 // before the trial; 0: not known
-	BaselineAnswers uint32 // answers before the trial that the marks come from
+	StageCounts     Counts
+	BuildCounts     Counts
+	Demand          uint16 // new requests now, in hundredths per second
+	UsualDemand     uint16 // the same before the trial; 0: not known
+	BaselineAnswers uint32 // answers before the trial from which slow thresholds were computed
 }
 
-// peerKey names one life of a peer.
+// peerKey identifies one incarnation of a peer.
 type peerKey struct {
 	peer        int
 	incarnation uint32
 }
 
-// InFlight tells at which servers a router has attempts out, and where some have failed.
+// InFlightReport lists the servers at which a router has attempts in flight, and those where attempts have failed.
 type InFlightReport []BusyServer
 
-// BusyServer is one of them, under its short name.
+// BusyServer is an entry of an InFlightReport. Server is a short ID.
 type BusyServer struct {
 	Server        uint16
 	InFlight      int
 	Failed        bool // an attempt there has failed since the last such message
-	AnsweredError bool // with an error
+	AnsweredError bool // one of them with an error
 }
 
-// shortID is a server's name in messages; two servers of a fleet rarely share one.
+// shortID returns a server's ID in messages; two servers of a fleet rarely share one.
 func shortID(id ServerID) uint16 { return uint16(id ^ id>>16) }
 
 const (
@@ -51,15 +51,16 @@
 	inFlightVersion   = 4
 	reportHeaderSize  = 12
 	inFlightEntrySize = 3
-	inFlightFailedBit = 1 << 7 // of a server's byte
+	inFlightFailedBit = 1 << 7 // of an entry's last byte, like the next two
 	inFlightErrorBit  = 1 << 6
-	maxEntryInFlight  = inFlightErrorBit - 1 // attempts out, the rest of it
+	maxEntryInFlight  = inFlightErrorBit - 1 // attempts in flight
 	maxCount          = 1 << 24              // no router counts this many attempts in a trial
-	maxMessageSize    = 256                  // the longest message peers accept
+	maxMessageSize    = 256                  // bytes; peers drop longer messages
 )
 
 var errMalformed = errors.New("malformed report")
 
+// add adds the counts of b.
 func (a *Arm) add(b Arm) {
 	to, from := a.fields(), b.fields()
 	for i := range to {
@@ -67,7 +68,7 @@
 	}
 }
 
-// count is 1 for yes.
+// oneIf returns 1 if the condition holds, else 0.
 func oneIf(yes bool) uint32 {
 	if yes {
 		return 1
@@ -75,7 +76,7 @@
 	return 0
 }
 
-// arm is the arm of the new build or of the old one.
+// arm returns the arm of the new build or of the old one.
 func (c *Counts) arm(isNew bool) *Arm {
 	if isNew {
 		return &c.New
@@ -83,23 +84,27 @@
 	return &c.Old
 }
 
+// add adds the counts of d.
 func (c *Counts) add(d Counts) {
 	c.Old.add(d.Old)
 	c.New.add(d.New)
 }
 
+// attempts returns the number of attempts in both arms.
 func (c Counts) attempts() uint32 { return c.Old.Attempts + c.New.Attempts }
 
+// fields returns the counters in the order in which they are encoded.
 func (a *Arm) fields() [6]*uint32 {
 	return [6]*uint32{&a.Attempts, &a.Missed, &a.Errors, &a.Measured, &a.Slow, &a.Wrong}
 }
 
-// possible tells whether counts can be cumulative counts of attempts.
+// isPossible reports whether counts can be cumulative counts of attempts.
 func (a Arm) isPossible() bool {
-	return a.Attempts <= maxCount && a.Missed <= a.Attempts && a.Errors+a.Wrong <= a.Missed && a.Slow <= a.Measured && a.Measured <= a.Attempts
+	return a.Attempts <= maxCount && a.Missed <= a.Attempts && a.Errors+a.Wrong <= a.Missed &&
+		a.Slow <= a.Measured && a.Measured <= a.Attempts
 }
 
-// older tells whether another report of the same life of a router was made after this one.
+// isOlderThan reports whether another report of the same incarnation of a router was made after this one.
 func (r *Report) isOlderThan(other Report) bool {
 	if other.Build != r.Build {
 		return other.Build > r.Build
@@ -107,11 +112,12 @@
 	return other.Stage > r.Stage || other.Stage == r.Stage && other.BuildCounts.attempts() > r.BuildCounts.attempts()
 }
 
+// arms returns the arms in the order in which they are encoded.
 func (r *Report) arms() []*Arm {
 	return []*Arm{&r.StageCounts.Old, &r.StageCounts.New, &r.BuildCounts.Old, &r.BuildCounts.New}
 }
 
-// Encode gives the report's bytes.
+// Encode returns the report's bytes.
 func (r Report) Encode() []byte {
 	b := make([]byte, 0, 128)
 	b = append(b, reportVersion)
@@ -129,7 +135,7 @@
 	return b
 }
 
-// DecodeReport reads a report; anything malformed, of another version or with impossible counts is an error.
+// DecodeReport decodes a report. A malformed report, another version and impossible counts are errors.
 func DecodeReport(b []byte) (Report, error) {
 	if len(b) < reportHeaderSize || len(b) > maxMessageSize || b[0] != reportVersion {
 		return Report{}, errMalformed
@@ -160,24 +166,26 @@
 	return r, nil
 }
 
-// Encode gives the message's bytes, leaving out the servers that no longer fit.
+// Encode returns the message's bytes. Servers beyond those that fit into one message are left out.
 func (m InFlightReport) Encode() []byte {
 	b := []byte{inFlightVersion}
 	for _, s := range m[:min(len(m), (maxMessageSize-1)/inFlightEntrySize)] {
 		b = binary.BigEndian.AppendUint16(b, s.Server)
-		b = append(b, byte(min(s.InFlight, maxEntryInFlight))|byte(oneIf(s.Failed)*inFlightFailedBit)|byte(oneIf(s.AnsweredError)*inFlightErrorBit))
+		b = append(b, byte(min(s.InFlight, maxEntryInFlight))|byte(oneIf(s.Failed)*inFlightFailedBit)|
+			byte(oneIf(s.AnsweredError)*inFlightErrorBit))
 	}
 	return b
 }
 
-// DecodeInFlight reads such a message; anything malformed or of another version is an error.
+// DecodeInFlightReport decodes an in-flight report. A malformed message and another version are errors.
 func DecodeInFlightReport(b []byte) (InFlightReport, error) {
 	if len(b) == 0 || len(b) > maxMessageSize || b[0] != inFlightVersion || len(b)%inFlightEntrySize != 1 {
 		return nil, errMalformed
 	}
 	var m InFlightReport
 	for b = b[1:]; len(b) > 0; b = b[inFlightEntrySize:] {
-		m = append(m, BusyServer{binary.BigEndian.Uint16(b), int(b[2] & maxEntryInFlight), b[2]&inFlightFailedBit > 0, b[2]&inFlightErrorBit > 0})
+		m = append(m, BusyServer{binary.BigEndian.Uint16(b), int(b[2] & maxEntryInFlight),
+			b[2]&inFlightFailedBit > 0, b[2]&inFlightErrorBit > 0})
 	}
 	return m, nil
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -8,65 +8,72 @@
 	"time"
 )
 
-// What a router keeps between events. Nothing is decided here.
+// This file holds what a router keeps between events, and small helpers on it.
 
-// Router is one instance of the decisions.
+// Router makes the decisions of one router instance: which server gets each attempt, and how it votes on builds. It
+// is not safe for concurrent use.
 type Router struct {
 	settings Settings
-	now      time.Duration
+	now      time.Duration // of the current event
 	rng      *rand.Rand
-	actions  []Action
+	actions  []Action // of the current event
 	started  bool
 
-	servers           map[ServerID]*server
-	serversByShortID  map[uint16]*server // by shortID
-	serverList        []*server          // all, by id
-	maxWeight         float64            // the largest weight in it
-	readyCount        int                // those in it that take new work
-	base, trial       group              // those of the ordinary build; those of the build on trial
-	baseSlowStartPart float64            // of the base group: see coldGate
-	trialBuild        BuildID            // 0: none
+	servers          map[ServerID]*server
+	serversByShortID map[uint16]*server
+	serverList       []*server // all servers, sorted by ID
+	maxWeight        float64   // the largest weight in serverList
+	readyCount       int       // servers in serverList that accept new work
+	base, trial      group     // the servers of the base build, and those of the build on trial
+
+	baseSlowStartPart float64 // slowStartPart of the base group
+	trialBuild        BuildID // 0: none
 	release           ReleaseStatus
 	releaseKnown      bool
-	rejectedBuilds    map[BuildID]bool // builds told to go back
+	rejectedBuilds    map[BuildID]bool // builds that were rolled back or withdrawn
 
 	classes   map[string]*class
 	tenants   map[string]*tenant
 	budgets   map[budgetKey]*budget
-	keyBuilds map[uint64]BuildID // forward-only: the newest build that has answered a key
-	keyUses   map[uint64]int     // forward-only: how often a key came in this stage
-
-	requests                            map[RequestID]*request
-	queue                               []*request
-	queuePass                           uint64 // over those that wait
-	inFlight                            int
-	limit, limitAnswers, limitLate      float64       // the concurrency limit; outcomes since it was set
-	requestRate, arrivals, ticks        float64       // requests a second; since the last tick
-	demand, usualDemand, repeatArrivals float64       // new requests a second; before the trial; unserved
-	failurePart                         float64       // part of the attempts that ended in an error or no answer
-	requestFaultPart                    float64       // part of errors that came again at another server
-	latePart                            float64       // part of answers of the ordinary build that came late
-	latencyRatios                       [2]float64    // time of answers as a part of the aim: on open connections, on new ones
-	servedCount, servedRate             float64       // requests served since the last tick; a second, over a longer time
-	lostParts                           [2]float64    // part of attempts that got no answer: others, those on idle connections
-	nextTickAt, stalledAt               time.Duration // next tick; the last wake-up that came late
-
-	inFlightUnshared             bool // too many peers, or too little traffic, to tell all what is in flight
+	keyBuilds map[uint64]BuildID // with ForwardOnly: the newest build that has answered a key
+	keyUses   map[uint64]int     // with ForwardOnly: requests per key in this stage
+
+	requests  map[RequestID]*request
+	queue     []*request
+	queuePass uint64 // number of the current pass over the queue
+	inFlight  int    // attempts in flight
+
+	limit, limitAnswers, limitLate float64 // concurrency limit; answers, and late ones, since it was last adapted
+	requestRate, arrivals, ticks   float64 // requests per second; requests since the last tick; ticks so far
+
+	// New requests per second, now and before the trial; requests since the last tick that were counted
+	// before.
+	demand, usualDemand, repeatArrivals float64
+
+	failurePart             float64       // part of attempts that ended in an error or a timeout
+	requestFaultPart        float64       // part of errors that recurred at another server
+	latePart                float64       // part of the base build's answers that were late
+	latencyRatios           [2]float64    // latency as a part of its target, on open and on new connections
+	servedCount, servedRate float64       // requests served since the last tick; per second, over a longer time
+	lostParts               [2]float64    // part of attempts without an answer, on busy and on idle connections
+	nextTickAt, stalledAt   time.Duration // the next tick; the last event that showed a stall
+
+	inFlightUnshared             bool // too many peers or too little traffic to share in-flight counts
 	incarnation                  uint32
-	stageCounts, buildCounts     Counts     // own, of the present stage and of the build
+	stageCounts, buildCounts     Counts     // this router's, of the current stage and of the build
 	errorSpans                   errorSpans // of the build, over all routers
 	peerReports                  map[peerKey]Report
-	peerIncarnations             map[int]int          // of each peer during this build
-	latestReports                map[int]Report       // the latest of each peer
-	peerInFlight                 map[int]peerInFlight // what peers have in flight
-	voters                       []int                // who votes on the present build, in order
-	stageStart, newestListedAt   time.Duration        // stage learned of; its newest machine listed
-	nextReportAt, nextInFlightAt time.Duration        // next messages
+	peerIncarnations             map[int]int    // number per peer during this build
+	latestReports                map[int]Report // by peer
+	peerInFlight                 map[int]peerInFlight
+	voters                       []int         // the routers that vote on the current build, in order
+	stageStart, newestListedAt   time.Duration // when the stage began; when its newest server was listed
+	nextReportAt, nextInFlightAt time.Duration // when the next messages to peers are due
 	vote                         voteState
-	baselineSlowPart             float64 // part of slow answers while the new build had next to no traffic
+	baselineSlowPart             float64 // part of slow answers while the new build had hardly any traffic
 }
 
-// New starts a router that knows its settings only.
+// New returns a router that knows nothing but its settings. The seed determines all of its random choices.
 func New(s Settings, seed uint64) *Router {
 	r := &Router{settings: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		servers: map[ServerID]*server{}, rejectedBuilds: map[BuildID]bool{}, classes: map[string]*class{},
@@ -85,7 +92,8 @@
 	return r
 }
 
-// Retune takes other shares of tenants and worths of classes, from now on; what is not named is as the settings say.
+// SetSharesAndWorths replaces the shares of tenants and the worths of classes. Those that are not named get
+// the values of the settings.
 func (r *Router) SetSharesAndWorths(shares, worth map[string]float64) {
 	for _, t := range r.settings.Tenants {
 		share, ok := shares[t.Name]
@@ -103,40 +111,44 @@
 	}
 }
 
+// class is a class of requests with its measured latencies.
 type class struct {
 	Class
-	meanSeconds     float64     // mean time of served attempts in seconds, smoothed
-	pinnedPart      float64     // share of requests whose key is bound to the build on trial, smoothed
-	recentSeconds   [64]float64 // of the latest answers before a trial, a ring
+	meanSeconds     float64     // mean duration of served attempts, smoothed
+	pinnedPart      float64     // part of requests whose key is bound to the build on trial, smoothed
+	recentSeconds   [64]float64 // durations of the latest answers outside a trial, a ring buffer
 	nextRecent      int
-	slowThreshold   float64   // slower than this is slow; 0: not known
-	baselineAnswers uint32    // answers behind the mark
-	blockedPass     [8]uint64 // the pass in which a first attempt found no server; see drainQueue
+	slowThreshold   float64   // in seconds; slower answers are slow; 0: not known
+	baselineAnswers uint32    // number of answers from which slowThreshold was computed
+	blockedPass     [8]uint64 // the queuePass in which a first attempt found no server; see drainQueue
 }
 
-type tenant struct{ share, rate, arrivals float64 } // of all quotas; requests a second; since the last tick
+// tenant holds a tenant's share of all quotas, its requests per second, and its requests since the last tick.
+type tenant struct{ share, rate, arrivals float64 }
 
+// request is a request that has no final answer yet, or whose last attempt is still in flight.
 type request struct {
 	RequestArrived
 	class                *class
 	arrived, deadline    time.Duration
-	priority             float64 // worth, for the queue
+	priority             float64 // the worth, by which the queue is sorted
 	attempts             int
-	attemptInFlight      bool // an attempt is out
-	server               *server
-	sentAt, mayHaveRunAt time.Duration // the last send; the send of the first attempt that may have run
-	sentRelease          ReleaseStatus // the release as known at the send
+	attemptInFlight      bool
+	server               *server       // of the last attempt
+	sentAt, mayHaveRunAt time.Duration // when the last attempt was sent; when the first that may have run was
+	sentRelease          ReleaseStatus // as known at the last send
 	sentToTrial          bool
-	sentTo, mayHaveRunOn Server // the server as listed at the send; at the first that may have run
+	sentTo, mayHaveRunOn Server // the server as listed at the last send; at that of the first that may have run
 	mayHaveRun           bool
-	randomDraw           float64 // drawn once, against coldGate
-	drawnForTrial, ended bool    // drawn for the build on trial; answered or gone
-	onIdleConn, overdue  bool    // sent on a connection long idle; past its aim without an answer
-	opensConn            bool    // sent with no connection open
+	randomDraw           float64 // drawn once; compared with slowStartPart and requestFaultRetryPart
+	drawnForTrial, ended bool    // selected for the build on trial; answered, or its client has gone
+	onIdleConn, overdue  bool    // sent on a connection that was idle for long; past its latency target
+	opensConn            bool    // sent without an open connection
 	firstOutcome         firstOutcome
 }
 
-// repeatBy is when servers no longer drop a repeat of a keyed request that may have run; zero where that binds nothing.
+// dedupExpiry returns the time from which servers no longer deduplicate repeats of a keyed request that may
+// have run, or 0 where no such time applies.
 func (q *request) dedupExpiry() time.Duration {
 	if !q.mayHaveRun || q.class.Repeatability != Keyed {
 		return 0
@@ -144,52 +156,58 @@
 	return q.mayHaveRunAt + q.class.DedupWindow
 }
 
-// first is what the first attempt tells of its build, kept back while a second one may tell more.
+// firstOutcome is the evidence that a request's first attempt gives on its build. It is kept back while a
+// second attempt may still show whether the request itself is at fault.
 type firstOutcome struct {
 	Arm
 	build        BuildID
 	release      ReleaseStatus
-	failedServer *server // where it failed; nil: it did not
+	failedServer *server // where the attempt failed; nil: it did not
 }
 
-// charge is what a server failed as it was counted: in one stage of a build, and in all of them.
+// countedFailures holds the failures of a server that this router has counted, in one stage of a build and in
+// all of its stages.
 type countedFailures struct {
 	release      ReleaseStatus
 	stage, build Arm
 }
 
+// server is a listed server with the router's own measurements.
 type server struct {
 	Server
 	health
-	inFlight      int           // attempts out
-	peerInFlight  int           // attempts that peers have out there
-	slowStartAt   time.Duration // see coldRoom
-	lastUsedAt    time.Duration // when its connections were last used; 0: never
-	slowStartUsed float64       // cold budget used, in requests
+	inFlight      int           // attempts in flight there
+	peerInFlight  int           // attempts that peers have in flight there
+	slowStartAt   time.Duration // when slowStartUsed was last updated
+	lastUsedAt    time.Duration // when its connections were last used; 0: none is open
+	slowStartUsed float64       // slow start budget used, in requests
 }
 
-// health is what is believed of a server's.
+// health holds the failures of a server and what follows from them. A server is suspect by failures that this
+// router has seen itself, and ejected as an outlier by failures that any router has seen.
 type health struct {
-	consecutiveFailures         int             // of this router's attempts, in a row
-	suspectFor, suspectUntil    time.Duration   // suspect until then, by what this router has met
-	recentFailures, buildErrors float64         // met by any router: failures of late; errors since the newest build appeared
-	ejectedFor, ejectedUntil    time.Duration   // left alone until then, by what all routers have met
+	consecutiveFailures         int             // of this router's attempts
+	suspectFor, suspectUntil    time.Duration   // length and end of the time for which the server is suspect
+	recentFailures, buildErrors float64         // seen by any router: of late; since the newest build appeared
+	ejectedFor, ejectedUntil    time.Duration   // length and end of the ejection
 	counted                     countedFailures // by this router
-	unsharedFailure             bool            // here, since the others were told
-	unsharedError               bool            // with an error
+	unsharedFailure             bool            // an attempt failed since the last message to peers
+	unsharedError               bool            // it failed with an error
 }
 
-// fit tells that a server is neither suspect nor left alone.
+// isHealthy reports whether a server is neither suspect nor ejected.
 func (h *health) isHealthy(now time.Duration) bool {
 	return h.suspectUntil <= now && h.ejectedUntil <= now
 }
 
-// group is the servers of one build, by id, those of them in the router's own zone, and those it keeps to.
+// group holds the servers of one build, sorted by ID: all, those in the router's zone, and those that it
+// uses.
 type group struct{ all, sameZone, subset []*server }
 
-// spread tells how many times as many servers there are as the router keeps to.
+// subsetFactor returns the ratio of all servers to those that the router uses.
 func (g group) subsetFactor() float64 { return float64(len(g.all)) / float64(max(1, len(g.subset))) }
 
+// add appends a server of the group's build.
 func (g *group) add(s *server, zone string) {
 	g.all = append(g.all, s)
 	if s.Zone == zone {
@@ -197,68 +215,77 @@
 	}
 }
 
+// budgetKey identifies a budget.
 type budgetKey struct {
 	build BuildID
-	class string // empty where all classes count together
+	class string // empty if all classes share one budget
 }
 
-// budget bounds the attempts at a build on trial. What requests earn is kept up to one attempt; the rest
-// of the free number is slots that each come back one window after their use. So every window holds at
-// most free + cap x requests, wherever it begins.
+// budget limits the attempts at a build on trial. Requests earn parts of an attempt, of which one attempt at
+// most is kept. The other free attempts are slots, each of which is available again one exposure window after
+// its use. So any window contains at most FreeAttempts + cap x requests, wherever it begins.
 type budget struct {
 	earned    float64
 	freeSlots []time.Duration // when each free slot was last used
 }
 
-// earn adds what one request is worth.
+// earn adds the part of an attempt that one request earns.
 func (b *budget) earn(part float64) { b.earned = min(1, b.earned+part) }
 
+// voteState is the state of this router's vote in the current stage.
 type voteState struct {
 	verdict              Verdict
-	castAt, pendingSince time.Duration // when to cast it, or cast it again; when the one unanswered was cast, 0: none
+	castAt, pendingSince time.Duration // when to cast or renew it; when the unanswered one was cast, 0: none
 	nextGuardAt          time.Duration
-	tested, otherCause   bool
+	tested, otherCause   bool // the stage was tested; something other than the build explains slowness
 }
 
-// spans adds up how the errors of a build compare with the old build's of the same short span of time.
+// errorSpans sums up the comparison of a new build's errors with the old build's in the same short spans of
+// time.
 type errorSpans struct {
-	endsAt                        time.Duration // the end of the open one
-	skip                          bool          // it brings what was counted long before
-	startCounts                   Counts        // pooled, at its begin
-	answers, errors               float64       // the new build's answers in those that have ended, and its errors; wrong ones are errors
-	expectedErrors, weightSquares float64       // what of them had erred at the old build's rate; see weight
+	endsAt                        time.Duration // the end of the open span
+	skip                          bool          // the open span contains counts from long before it
+	startCounts                   Counts        // pooled counts at the begin of the open span
+	answers, errors               float64       // of the new build in the closed spans; wrong answers are errors
+	expectedErrors, weightSquares float64       // errors expected at the old build's rate; see baselineWeight
 }
 
-// end closes a span with the counts pooled by then. All answers of the old build before it weigh as much as faith
-// of the span's, so that a span with few of them tells little by itself; each answer counts for one of so many.
+// close ends a span with the counts pooled by then. All earlier answers of the old build weigh as much as
+// priorAnswers of the span, so that a span with few answers has little influence. designEffect answers count
+// as one.
 func (s *errorSpans) close(total Counts, priorAnswers, designEffect float64) {
 	previous := s.startCounts
 	if s.startCounts = total; s.skip {
 		s.skip = false
 		return
 	}
-	increase := func(now, then uint32) float64 { return (float64(now) - float64(then)) / designEffect } // some are taken back
-	n, weight := increase(total.New.Attempts, previous.New.Attempts), increase(total.Old.Attempts, previous.Old.Attempts)+priorAnswers/designEffect
-	errors := increase(total.Old.errorCount(), previous.Old.errorCount()) + priorAnswers/designEffect*ratio(total.Old.errorCount(), total.Old.Attempts)
+	increase := func(now, then uint32) float64 { // negative where failures were uncounted
+		return (float64(now) - float64(then)) / designEffect
+	}
+	n, weight := increase(total.New.Attempts, previous.New.Attempts),
+		increase(total.Old.Attempts, previous.Old.Attempts)+priorAnswers/designEffect
+	errors := increase(total.Old.errorCount(), previous.Old.errorCount()) +
+		priorAnswers/designEffect*ratio(total.Old.errorCount(), total.Old.Attempts)
 	s.answers += n
 	s.errors += increase(total.New.errorCount(), previous.New.errorCount())
 	s.expectedErrors += n * errors / weight
 	s.weightSquares += n * n / weight
 }
 
-// rate is the old build's part of errors, each span as heavy as the new build's answers in it.
+// baselineErrorRate returns the old build's part of errors, each span weighted by the new build's answers in
+// it.
 func (s *errorSpans) baselineErrorRate() float64 {
 	return max(0, s.expectedErrors) / max(1e-9, s.answers)
 }
 
-// weight is the number of answers of the old build that tells its rate as surely.
+// baselineWeight returns the effective number of the old build's answers behind baselineErrorRate.
 func (s *errorSpans) baselineWeight() float64 {
 	return s.answers * s.answers / max(1e-9, s.weightSquares)
 }
 
-// clustering tells how many times as much the errors of the old build's servers differ as chance would have it if
-// all erred alike (the design effect): of so many errors one says something of a build. Where no old server is
-// left, the new build's tell.
+// designEffect returns the ratio of the variance of errors between the old build's servers to the variance
+// that chance alone would cause if all had the same error rate. Of that many errors, one is independent
+// evidence on a build. If no old server is left, the new build's servers are used.
 func (r *Router) designEffect() float64 {
 	g := r.base
 	if len(g.all) == 0 {
@@ -275,21 +302,22 @@
 	return max(1, (sumSquares-sum*sum/n)/(sum/n)/(n-1))
 }
 
-// told is what a peer has in flight, and when that was heard.
+// peerInFlight is a peer's latest in-flight report and the time of its receipt.
 type peerInFlight struct {
 	report     InFlightReport
 	receivedAt time.Duration
 }
 
+// toHundredths returns x in hundredths, limited to 16 bits.
 func toHundredths(x float64) uint16 { return uint16(min(100*max(0, x), math.MaxUint16)) }
 
-// erred counts errors and answers found wrong.
+// errorCount returns the number of errors and wrong answers.
 func (a Arm) errorCount() uint32 { return a.Errors + a.Wrong }
 
-// share is the part that some make of all.
+// ratio returns part / all, or part if all is 0.
 func ratio(part, all uint32) float64 { return float64(part) / float64(max(1, all)) }
 
-// countBusy adds or takes off the attempts that a peer has out.
+// addPeerInFlight adds a peer's attempts in flight (sign 1) or removes them (sign -1).
 func (r *Router) addPeerInFlight(report InFlightReport, sign int) {
 	for _, b := range report {
 		if s := r.serversByShortID[b.Server]; s != nil {
@@ -298,12 +326,13 @@
 	}
 }
 
-// blend moves a smoothed value a step towards what was seen.
+// smooth updates an exponential moving average, in which the new value has the weight step.
 func smooth(x *float64, step, seen float64) { *x += step * (seen - *x) }
 
-// own is this router's report, without the attempts out.
+// ownReport returns this router's report.
 func (r *Router) ownReport() Report {
-	m := Report{Incarnation: r.incarnation, Build: r.release.Build, Stage: r.stageNumber(), StageCounts: r.stageCounts,
+	m := Report{Incarnation: r.incarnation, Build: r.release.Build, Stage: r.stageNumber(),
+		StageCounts: r.stageCounts,
 		BuildCounts: r.buildCounts, Demand: toHundredths(r.demand), UsualDemand: toHundredths(r.usualDemand)}
 	for _, c := range r.classes {
 		m.BaselineAnswers += c.baselineAnswers
@@ -311,7 +340,7 @@
 	return m
 }
 
-// pooled sums the counts of the present stage and build over all routers and their incarnations.
+// pooledCounts sums the counts of the current stage and build over all routers and their incarnations.
 func (r *Router) pooledCounts() (stage, total Counts) {
 	stage, total = r.stageCounts, r.buildCounts
 	for _, m := range r.peerReports {
@@ -325,7 +354,7 @@
 	return stage, total
 }
 
-// tally counts the first attempt of a request.
+// countFirstAttempt adds the first attempt of a request to the counts.
 func (r *Router) countFirstAttempt(req *request) {
 	f := req.firstOutcome
 	req.firstOutcome = firstOutcome{}
@@ -341,7 +370,7 @@
 	}
 }
 
-// charge keeps what a server's failure adds to the counts.
+// countFailure remembers what a server's failure has added to the counts, so that it can be uncounted.
 func (h *health) countFailure(f firstOutcome) {
 	c := &h.counted
 	if c.release.Build != f.release.Build {
@@ -356,7 +385,7 @@
 	c.build.add(failed)
 }
 
-// takeBack takes what a server failed out of the counts; its attempts stay in them as if they had gone well.
+// uncountFailures removes a server's failures from the counts. Its attempts remain, as if they had succeeded.
 func (r *Router) uncountFailures(s *server) {
 	c, isNew := s.counted, s.Build == r.release.Build
 	if s.counted = (countedFailures{}); c.release.Build != r.release.Build {
@@ -371,13 +400,13 @@
 	}
 }
 
-// apart tells that servers of the ordinary build stand out.
+// hasEjectedBase reports whether a server of the base build is ejected.
 func (r *Router) hasEjectedBase() bool {
 	return slices.ContainsFunc(r.base.all, func(s *server) bool { return s.ejectedUntil > r.now })
 }
 
-// forgetBuilds drops what is kept of builds that can't matter any more. Danger: builds follow one another for as
-// long as the router runs, and peers restart; each would leave something behind.
+// dropOldBuilds drops the data of builds that are no longer relevant. Without it, memory would grow with each
+// new build and each restart of a peer.
 func (r *Router) dropOldBuilds() {
 	oldest := r.release.Build
 	for _, s := range r.serverList {
@@ -390,7 +419,8 @@
 	maps.DeleteFunc(r.keyBuilds, func(_ uint64, b BuildID) bool { return b <= oldest })
 }
 
-// pace is the time of answers as a part of the aim, of the class that comes nearest to it.
+// highestLatencyRatio returns the mean latency as a part of its target, for the class that is closest to its
+// target.
 func (r *Router) highestLatencyRatio() (highest float64) {
 	for _, c := range r.classes {
 		highest = max(highest, c.meanSeconds/c.LatencyTarget.Seconds())
@@ -398,7 +428,7 @@
 	return highest
 }
 
-// tail is the chance of n events or more where mean are expected, by Poisson's law.
+// poissonTail returns the probability of n or more events under a Poisson distribution with this mean.
 func poissonTail(mean float64, n uint32) float64 {
 	p, sum := math.Exp(-mean), 0.0
 	for k := range n {
@@ -408,7 +438,7 @@
 	return max(0, 1-sum)
 }
 
-// groupOf is the build on trial's group, or the ordinary one.
+// groupOf returns the group of the build on trial if b is that build, and the base group otherwise.
 func (r *Router) groupOf(b BuildID) group {
 	if b == r.trialBuild {
 		return r.trial
@@ -416,7 +446,7 @@
 	return r.base
 }
 
-// fitOf counts the servers of a group that are not suspect.
+// healthyCount returns the number of healthy servers in a group.
 func (r *Router) healthyCount(g group) (n int) {
 	for _, s := range g.all {
 		n += int(oneIf(s.isHealthy(r.now)))
@@ -424,7 +454,8 @@
 	return n
 }
 
-// ramp is the part of its capacity that a server surely has.
+// warmPart returns the part of its full capacity that a server is certain to have, which grows while it warms
+// up.
 func (r *Router) warmPart(s *server) float64 {
 	if s.Started == 0 || r.settings.WarmUpTime <= 0 {
 		return 1
@@ -433,33 +464,36 @@
 	return min(1, r.settings.ColdCapacity+(1-r.settings.ColdCapacity)*max(0, age))
 }
 
-// capacity is what a server can do now, by its listed weight.
+// capacity returns a server's current capacity: its listed weight times its warm part.
 func (r *Router) capacity(s *server) float64 { return max(s.Weight, 0.01) * r.warmPart(s) }
 
-// budget finds the budget of a build and class.
+// budget returns the budget of a build and class, and creates it if needed.
 func (r *Router) budget(build BuildID, c *class) *budget {
 	k := budgetKey{build: build}
 	if r.settings.Rollout.BudgetPerClass {
 		k.class = c.Name
 	}
-	if r.budgets[k] == nil { // one free attempt is kept for what requests have earned
-		used := slices.Repeat([]time.Duration{r.now - 2*r.settings.Rollout.ExposureWindow}, max(0, int(r.settings.Rollout.FreeAttempts)-1))
+	if r.budgets[k] == nil { // one free attempt is the earned one
+		used := slices.Repeat([]time.Duration{r.now - 2*r.settings.Rollout.ExposureWindow},
+			max(0, int(r.settings.Rollout.FreeAttempts)-1))
 		r.budgets[k] = &budget{freeSlots: used}
 	}
 	return r.budgets[k]
 }
 
-// step numbers the stages for reports; the time after the release is one more.
+// stageNumber returns the number of the stage in reports. The time after the release counts as one more
+// stage.
 func (r *Router) stageNumber() int {
 	return r.release.Stage + int(oneIf(r.release.Phase == Released))
 }
 
-// pooledDemand sums what all routers tell of demand now and before the trial, and of the answers behind marks.
+// pooledDemand sums over all routers the demand now and before the trial, and the answers behind slow
+// thresholds.
 func (r *Router) pooledDemand() (demand, usualDemand float64, baseline uint32) {
 	own := r.ownReport()
 	demand, usualDemand, baseline = float64(own.Demand), float64(own.UsualDemand), own.BaselineAnswers
 	for _, m := range r.latestReports {
-		if baseline += m.BaselineAnswers; m.UsualDemand > 0 { // a restarted router does not know what was usual
+		if baseline += m.BaselineAnswers; m.UsualDemand > 0 { // a restarted router does not know its usual demand
 			demand, usualDemand = demand+float64(m.Demand), usualDemand+float64(m.UsualDemand)
 		}
 	}
