--- a/logic/api.go
+++ b/logic/api.go
@@ -211,8 +211,8 @@
 		Stage    int
 		Phase    Phase
 		IsReply  bool
-		Reply    VoteReply // if IsReply; the other fields are valid only with VoteCounted
-		Cap      float64   // on the exposure
+		Reply    VoteReply     // if IsReply; the other fields are valid only with VoteCounted
+		Cap      float64       // on the exposure
 		StageAge time.Duration // since the stage began
 	}
 	// BuildTally is the platform's own sample of outcomes.
