--- a/logic/logic.go
+++ b/logic/logic.go
@@ -69,9 +69,10 @@
 	// The initial concurrency limit is this many attempts per server. All routers' limits together are never
 	// lower than half of it.
 	initialLimitPerServer = 3.0
-	limitDecrease         = 0.9
-	highLatePart          = 0.2 // part of late answers above which the limit is cut
-	overShareMultiple     = 1.3 // a tenant is over its share beyond this multiple of it
+
+	limitDecrease     = 0.9 // factor by which the limit is cut
+	highLatePart      = 0.2 // part of late answers above which the limit is cut
+	overShareMultiple = 1.3 // a tenant is over its share beyond this multiple of it
 
 	maxIncarnations         = 16          // incarnations of a peer during one build whose counts are kept
 	inFlightTTL             = time.Second // a peer's in-flight report counts this long; 10 per TTL at most
@@ -94,8 +95,9 @@
 	// A slower fleet is tolerated while less than fleetMissedPart of its requests miss their target. During a
 	// trial it is not, if the increase in slow answers and the mean latency as a part of the target exceed
 	// fleetSeverePart.
-	fleetMissedPart    = 0.05
-	fleetSeverePart    = 0.25
+	fleetMissedPart = 0.05
+	fleetSeverePart = 0.25
+
 	highDemandMultiple = 1.3 // demand above this multiple of the usual one explains slowness
 
 	voteStagger    = 1200 * time.Millisecond // delay per voter ranked before this one; a third for rollbacks
@@ -120,9 +122,9 @@
 	case ServersListed:
 		r.updateServers(e)
 	case RequestArrived:
-		r.admit(e)
+		r.admitRequest(e)
 	case AttemptDone:
-		r.attemptDone(e)
+		r.finishAttempt(e)
 	case ClientGone:
 		if req := r.requests[e.ID]; req != nil {
 			r.forgetRequest(req)
@@ -130,9 +132,9 @@
 	case TimerFired:
 		r.tick()
 	case PeerMessage:
-		r.receive(e)
+		r.receivePeerMessage(e)
 	case AnswerDisputed:
-		r.countDisputed(e)
+		r.countDisputedAnswer(e)
 	case ReleaseStatus:
 		r.updateRelease(e)
 	}
@@ -228,8 +230,8 @@
 	}
 	rate := warm * r.slowStartRate() * r.groupOf(s.Build).subsetFactor() // other routers do not use it
 	burst := max(1, rate*r.settings.OverloadTime.Seconds()/8)
-	s.slowStartUsed = max(0, s.slowStartUsed-rate*(r.now-s.slowStartAt).Seconds())
-	s.slowStartAt = r.now
+	s.slowStartUsed = max(0, s.slowStartUsed-rate*(r.now-s.slowStartUpdatedAt).Seconds())
+	s.slowStartUpdatedAt = r.now
 	if spend {
 		s.slowStartUsed++
 	}
@@ -291,7 +293,7 @@
 	s.ejectedUntil = r.now + s.ejectedFor/2 + time.Duration(r.rng.Int64N(int64(s.ejectedFor)))
 	// Failing servers of the old build are ejected already, while those of the new build are only being
 	// discovered. Counting the latter's failures would bias the comparison against the new build.
-	if r.hasEjectedBase() {
+	if r.hasEjectedBaseServer() {
 		r.uncountFailures(s)
 	}
 }
@@ -325,8 +327,8 @@
 // trialAllows reports whether the exposure budget allows an attempt of this class at the build on trial now.
 // With take set, the attempt is taken out of the budget.
 func (r *Router) trialAllows(build BuildID, c *class, take bool) bool {
-	limit, stage := r.trialCap(build)
-	if limit <= 0 || stage < r.settings.Rollout.ClosedStages && c.Repeatability != Safe {
+	exposureCap, stage := r.trialCap(build)
+	if exposureCap <= 0 || stage < r.settings.Rollout.ClosedStages && c.Repeatability != Safe {
 		return false
 	}
 	b := r.budget(build, c)
@@ -393,7 +395,7 @@
 // trialCapPart of the cap, or the new servers' part of the fleet where they are too few or too cold to carry
 // that much.
 func (r *Router) trialChance(c *class) float64 {
-	limit, stage := r.trialCap(r.trialBuild)
+	exposureCap, stage := r.trialCap(r.trialBuild)
 	if stage < r.settings.Rollout.ClosedStages && c.Repeatability != Safe {
 		return 0
 	}
@@ -416,7 +418,7 @@
 	} else if r.settings.Rollout.RollingUpdate {
 		fleetSize += float64(len(r.trial.all))
 	}
-	return min(trialCapPart*limit, trialSize/fleetSize)
+	return min(trialCapPart*exposureCap, trialSize/fleetSize)
 }
 
 // ---- Choice of a server ----
@@ -436,7 +438,8 @@
 // cost. A first attempt may go to a suspect or ejected server if no other is left.
 func (r *Router) pickServer(g group, req *request) *server {
 	first := cmp.Or(r.drawServer(g.subset, req, false), r.drawServer(g.all, req, false))
-	allowSuspects := first == nil && req.attempts == 0 // not for retries: a storm of them where all refuse
+	// Retries may not, since they would become a retry storm where all servers refuse.
+	allowSuspects := first == nil && req.attempts == 0
 	if allowSuspects {
 		first = r.drawServer(g.all, req, true)
 	}
@@ -532,8 +535,8 @@
 
 // ---- The life of a request ----
 
-// admit registers a new request and sends its first attempt or queues it.
-func (r *Router) admit(e RequestArrived) {
+// admitRequest registers a new request and sends its first attempt or queues it.
+func (r *Router) admitRequest(e RequestArrived) {
 	c := r.classes[e.Class]
 	if c == nil { // a class outside the settings is treated as the strictest
 		c = &class{Class: Class{Name: e.Class, Repeatability: Unsafe, LatencyTarget: e.TimeLeft,
@@ -550,8 +553,8 @@
 			req.priority *= r.settings.OverShareWorth
 		}
 	}
-	if limit, _ := r.trialCap(r.trialBuild); r.trialBuild != 0 { // every request adds to the budget
-		r.budget(r.trialBuild, c).earn(limit)
+	if exposureCap, _ := r.trialCap(r.trialBuild); r.trialBuild != 0 { // every request adds to the budget
+		r.budget(r.trialBuild, c).earn(exposureCap)
 	}
 	r.drawForTrial(req)
 	if !r.trySend(req) {
@@ -611,8 +614,8 @@
 	return true
 }
 
-// attemptDone records the outcome of an attempt, and retries or ends its request.
-func (r *Router) attemptDone(e AttemptDone) {
+// finishAttempt records the outcome of an attempt, and retries or ends its request.
+func (r *Router) finishAttempt(e AttemptDone) {
 	req := r.requests[e.ID]
 	if req == nil || !req.attemptInFlight || e.Attempt != req.attempts-1 {
 		return
@@ -833,7 +836,8 @@
 	// server that fails several times in a row is itself at fault. The same holds for an outlier, but only if
 	// old servers are outliers too, since the first servers of a bad build may stand out because of the
 	// build. Slow or failed connecting is never attributed to a build.
-	isolated := (req.server.suspectUntil > r.now || req.server.ejectedUntil > r.now && r.hasEjectedBase()) &&
+	isolated := (req.server.suspectUntil > r.now ||
+		req.server.ejectedUntil > r.now && r.hasEjectedBaseServer()) &&
 		float64(r.healthyCount(group)) >= isolatedHealthyPart*float64(len(group.all))
 	unrelated := e.Outcome == ConnectFailed || isolated || req.opensConn && r.connectsSlowly()
 	youngServer := req.sentTo.Started != 0 && req.sentAt < req.sentTo.Started+minEvidenceAge
@@ -867,7 +871,7 @@
 		return
 	}
 	requestFault := r.requestFaultPart > highRequestFault || req.class.Repeatability != Unsafe
-	// There is no server of another build to compare with.
+	// No server of another build can be tried if there is none, or if the base build has just been released.
 	noComparison := len(r.base.all) == 0 ||
 		r.release.Phase == Released && r.now < r.stageStart+fleetSlowdownTime
 	if outcome != nil && (*outcome == OK || *outcome == ServerError) {
@@ -881,8 +885,8 @@
 	r.countFirstAttempt(req)
 }
 
-// countDisputed counts an answer that a client found wrong as failed; it was counted as served before.
-func (r *Router) countDisputed(e AnswerDisputed) {
+// countDisputedAnswer counts an answer that a client found wrong as failed; it was counted as served before.
+func (r *Router) countDisputedAnswer(e AnswerDisputed) {
 	s := r.servers[e.Server]
 	if s == nil || r.now-e.AttemptAge < s.Started {
 		return // the server's build at that time is not known any more
@@ -969,8 +973,8 @@
 	}
 }
 
-// receive processes a message from a peer. Malformed and impossible messages are dropped.
-func (r *Router) receive(e PeerMessage) {
+// receivePeerMessage processes a message from a peer. Malformed and impossible messages are dropped.
+func (r *Router) receivePeerMessage(e PeerMessage) {
 	if e.From < 0 || e.From >= r.settings.RouterCount || e.From == r.settings.Self {
 		return
 	}
@@ -1003,43 +1007,45 @@
 // ---- The statistical test ----
 
 // harmPValue returns the p-value of the hypothesis that the new build's part of bad outcomes exceeds the old
-// build's by no more than margin. It runs the two-armed bandit walk over random orderings of the outcomes,
-// and combines their p-values by the Cauchy combination test.
+// build's by no more than margin. Each outcome becomes a score: the difference of the builds beyond the
+// margin, plus (old build) or minus (new build) the outcome's residual within its build, weighted by the
+// inverse of that build's part of the outcomes. The two-armed bandit's walk runs over random orderings of the
+// scores, and the p-values of these orderings are combined by the Cauchy combination test.
 func harmPValue(rng *rand.Rand, oldN, oldBad, newN, newBad uint32, margin float64) float64 {
 	nNew, nOld := float64(newN), float64(oldN)
 	n := nNew + nOld
 	if nNew == 0 || nOld == 0 {
 		return 1
 	}
-	mOld, mNew, p := 1-float64(oldBad)/nOld, 1-float64(newBad)/nNew, nNew/n
-	diff := mOld - mNew - margin
-	mu := slices.Concat(slices.Repeat([]float64{diff + (1-mOld)/(1-p)}, int(oldN-oldBad)),
-		slices.Repeat([]float64{diff - mOld/(1-p)}, int(oldBad)),
-		slices.Repeat([]float64{diff - (1-mNew)/p}, int(newN-newBad)),
-		slices.Repeat([]float64{diff + mNew/p}, int(newBad)))
-	square := 0.0 // the mean of mu is diff, since the residuals of each arm sum to 0
-	for _, v := range mu {
-		square += (v - diff) * (v - diff)
-	}
-	if n < 2 || square < 1e-12 {
+	goodOld, goodNew, newPart := 1-float64(oldBad)/nOld, 1-float64(newBad)/nNew, nNew/n
+	diff := goodOld - goodNew - margin
+	scores := slices.Concat(slices.Repeat([]float64{diff + (1-goodOld)/(1-newPart)}, int(oldN-oldBad)),
+		slices.Repeat([]float64{diff - goodOld/(1-newPart)}, int(oldBad)),
+		slices.Repeat([]float64{diff - (1-goodNew)/newPart}, int(newN-newBad)),
+		slices.Repeat([]float64{diff + goodNew/newPart}, int(newBad)))
+	sumSquares := 0.0 // the mean score is diff, since the residuals of each arm sum to 0
+	for _, v := range scores {
+		sumSquares += (v - diff) * (v - diff)
+	}
+	if n < 2 || sumSquares < 1e-12 {
 		return 1 // no variance, so no evidence against the build
 	}
-	scale := 1 / (math.Sqrt(n) * math.Sqrt(square/(n-1)))
-	t := 0.0
+	scale := 1 / (math.Sqrt(n) * math.Sqrt(sumSquares/(n-1)))
+	statistic := 0.0
 	for range walkPermutations {
-		rng.Shuffle(len(mu), func(i, j int) { mu[i], mu[j] = mu[j], mu[i] })
-		pb := math.Erfc(math.Abs(walk(mu, scale, rng.Uint64()&1 == 0)) / math.Sqrt2)
-		t += math.Tan((0.5-max(pb, 1e-15))*math.Pi) / float64(walkPermutations)
+		rng.Shuffle(len(scores), func(i, j int) { scores[i], scores[j] = scores[j], scores[i] })
+		p := math.Erfc(math.Abs(walk(scores, scale, rng.Uint64()&1 == 0)) / math.Sqrt2)
+		statistic += math.Tan((0.5-max(p, 1e-15))*math.Pi) / float64(walkPermutations)
 	}
-	return 0.5 - math.Atan(t)/math.Pi
+	return 0.5 - math.Atan(statistic)/math.Pi
 }
 
 // walk returns the end of the two-armed bandit's walk: it adds the next value while its sum is positive, and
-// subtracts it otherwise. The first value is added if up is set.
-func walk(mu []float64, scale float64, up bool) float64 {
+// subtracts it otherwise. The first value is added if startUp is set.
+func walk(scores []float64, scale float64, startUp bool) float64 {
 	sum := 0.0
-	for i, v := range mu {
-		if i == 0 && !up || i > 0 && sum <= 0 {
+	for i, v := range scores {
+		if i == 0 && !startUp || i > 0 && sum <= 0 {
 			v = -v
 		}
 		sum += v * scale
@@ -1126,14 +1132,14 @@
 		r.errorSpans.close(total, spanPriorAnswers, r.designEffect())
 		r.errorSpans.endsAt = r.now + spanLength
 	}
-	verdict, why := VoteNone, ""
+	verdict, reason := VoteNone, ""
 	if v.verdict != VoteRollBack && r.now >= v.nextGuardAt {
 		// With a high cap, the build advances soon, so the guards run more often.
 		v.nextGuardAt = r.now + guardInterval/time.Duration(1+4*oneIf(r.release.Cap >= fleetSlowdownCap))
 		if r.errorsIncreased(total) {
-			verdict, why = VoteRollBack, "errors"
+			verdict, reason = VoteRollBack, "errors"
 		} else if r.fleetSlowed(stage) {
-			verdict, why = VoteRollBack, "the fleet slowed"
+			verdict, reason = VoteRollBack, "the fleet slowed"
 		}
 	}
 	if !v.tested && r.release.Phase == OnTrial && verdict == VoteNone {
@@ -1145,21 +1151,21 @@
 			return
 		}
 		oldArm, newArm := stage.Old, stage.New
-		verdict, why = VoteAdvance, "no harm seen"
+		verdict, reason = VoteAdvance, "no harm seen"
 		if harmPValue(r.rng, oldArm.Attempts, oldArm.Missed, newArm.Attempts, newArm.Missed,
 			missedMargin) < significanceLevel {
-			verdict, why = VoteRollBack, "served less in time"
+			verdict, reason = VoteRollBack, "served less in time"
 		} else if newArm.Measured >= testSampleSize &&
 			harmPValue(r.rng, oldArm.Measured, oldArm.Slow, newArm.Measured, newArm.Slow,
 				slowMargin) < significanceLevel {
-			verdict, why = VoteRollBack, "slower answers"
+			verdict, reason = VoteRollBack, "slower answers"
 		}
 	}
 	if verdict != VoteNone {
 		wait := map[Verdict]time.Duration{VoteAdvance: voteStagger, VoteRollBack: voteStagger / 3}[verdict]
 		v.tested, v.verdict, v.castAt = true, verdict, r.now+time.Duration(rank)*wait
 		r.emit(Log{fmt.Sprintf("build %d stage %d: %s; old, new (n miss err slow wrong): %v total %v",
-			r.release.Build, r.release.Stage, why, stage, total)})
+			r.release.Build, r.release.Stage, reason, stage, total)})
 	}
 	advancesAlone := v.verdict == VoteAdvance && r.settings.Rollout.AutoAdvance // no vote needed
 	if !v.tested || advancesAlone ||
@@ -1181,17 +1187,17 @@
 // meanwhile, a comparison of the sums would disfavor the new build; so each span's errors are compared with
 // the old build's in the same span. A few faulty servers give most of the errors, and a build that got more
 // such servers would look bad; so answers count for less where the old build's servers fail unevenly (see
-// designEffect). The price is that a bad build that arrives while servers are faulty is detected later.
+// designEffect). The price is that a bad build is harder to detect if it arrives while servers are faulty.
 func (r *Router) errorsIncreased(total Counts) bool {
-	s := r.errorSpans
-	s.close(total, spanPriorAnswers, r.designEffect())
-	rate, old, answers, errors := s.baselineErrorRate(), s.baselineWeight(),
-		uint32(s.answers+0.5), uint32(max(0, s.errors)+0.5)
-	threshold := rate + errorMargin
-	return errors >= minGuardErrors && s.errors/s.answers > threshold &&
-		(poissonTail(s.answers*threshold, errors) < significanceLevel/20 ||
-			harmPValue(r.rng, uint32(old), uint32(rate*old+0.5), max(answers, errors), errors,
-				errorMargin) < significanceLevel)
+	spans := r.errorSpans
+	spans.close(total, spanPriorAnswers, r.designEffect())
+	baselineRate, baselineAnswers, answers, errors := spans.baselineErrorRate(), spans.baselineWeight(),
+		uint32(spans.answers+0.5), uint32(max(0, spans.errors)+0.5)
+	threshold := baselineRate + errorMargin
+	return errors >= minGuardErrors && spans.errors/spans.answers > threshold &&
+		(poissonTail(spans.answers*threshold, errors) < significanceLevel/20 ||
+			harmPValue(r.rng, uint32(baselineAnswers), uint32(baselineRate*baselineAnswers+0.5),
+				max(answers, errors), errors, errorMargin) < significanceLevel)
 }
 
 // fleetSlowed is the guard against a build that slows the servers of both builds in proportion to its own
@@ -1213,13 +1219,13 @@
 		return false
 	}
 	severe := r.release.Phase == OnTrial && r.highestLatencyRatio() > fleetSeverePart // see fleetMissedPart
-	for _, now := range []Arm{stage.Old, stage.New} {
+	for _, arm := range []Arm{stage.Old, stage.New} {
 		slow := uint32(r.baselineSlowPart * float64(baseline))
-		slowIncrease, missedPart := ratio(now.Slow, now.Measured)-ratio(slow, baseline),
-			ratio(now.Missed, now.Attempts)
-		if now.Measured >= testSampleSize && (slowIncrease <= fleetSlowMargin ||
+		slowIncrease, missedPart := ratio(arm.Slow, arm.Measured)-ratio(slow, baseline),
+			ratio(arm.Missed, arm.Attempts)
+		if arm.Measured >= testSampleSize && (slowIncrease <= fleetSlowMargin ||
 			missedPart < fleetMissedPart && (!severe || slowIncrease <= fleetSeverePart) ||
-			harmPValue(r.rng, baseline, slow, now.Measured, now.Slow, fleetSlowMargin) >= significanceLevel) {
+			harmPValue(r.rng, baseline, slow, arm.Measured, arm.Slow, fleetSlowMargin) >= significanceLevel) {
 			return false
 		}
 	}
--- a/logic/report.go
+++ b/logic/report.go
@@ -69,8 +69,8 @@
 }
 
 // oneIf returns 1 if the condition holds, else 0.
-func oneIf(yes bool) uint32 {
-	if yes {
+func oneIf(condition bool) uint32 {
+	if condition {
 		return 1
 	}
 	return 0
--- a/logic/state.go
+++ b/logic/state.go
@@ -176,11 +176,11 @@
 type server struct {
 	Server
 	health
-	inFlight      int           // attempts in flight there
-	peerInFlight  int           // attempts that peers have in flight there
-	slowStartAt   time.Duration // when slowStartUsed was last updated
-	lastUsedAt    time.Duration // when its connections were last used; 0: none is open
-	slowStartUsed float64       // slow start budget used, in requests
+	inFlight           int           // attempts in flight there
+	peerInFlight       int           // attempts that peers have in flight there
+	slowStartUpdatedAt time.Duration // when slowStartUsed was last updated
+	lastUsedAt         time.Duration // when its connections were last used; 0: none is open
+	slowStartUsed      float64       // slow start budget used, in requests
 }
 
 // health holds the failures of a server and what follows from them. A server is suspect by failures that this
@@ -190,7 +190,7 @@
 	suspectFor, suspectUntil    time.Duration   // length and end of the time for which the server is suspect
 	recentFailures, buildErrors float64         // seen by any router: of late; since the newest build appeared
 	ejectedFor, ejectedUntil    time.Duration   // length and end of the ejection
-	counted                     countedFailures // by this router
+	countedFailures             countedFailures // by this router
 	unsharedFailure             bool            // an attempt failed since the last message to peers
 	unsharedError               bool            // it failed with an error
 }
@@ -327,7 +327,7 @@
 }
 
 // smooth updates an exponential moving average, in which the new value has the weight step.
-func smooth(x *float64, step, seen float64) { *x += step * (seen - *x) }
+func smooth(average *float64, step, value float64) { *average += step * (value - *average) }
 
 // ownReport returns this router's report.
 func (r *Router) ownReport() Report {
@@ -372,7 +372,7 @@
 
 // countFailure remembers what a server's failure has added to the counts, so that it can be uncounted.
 func (h *health) countFailure(f firstOutcome) {
-	c := &h.counted
+	c := &h.countedFailures
 	if c.release.Build != f.release.Build {
 		*c = countedFailures{}
 	}
@@ -387,8 +387,8 @@
 
 // uncountFailures removes a server's failures from the counts. Its attempts remain, as if they had succeeded.
 func (r *Router) uncountFailures(s *server) {
-	c, isNew := s.counted, s.Build == r.release.Build
-	if s.counted = (countedFailures{}); c.release.Build != r.release.Build {
+	c, isNew := s.countedFailures, s.Build == r.release.Build
+	if s.countedFailures = (countedFailures{}); c.release.Build != r.release.Build {
 		return
 	}
 	subtract := func(from *Arm, by Arm) {
@@ -400,8 +400,8 @@
 	}
 }
 
-// hasEjectedBase reports whether a server of the base build is ejected.
-func (r *Router) hasEjectedBase() bool {
+// hasEjectedBaseServer reports whether a server of the base build is ejected.
+func (r *Router) hasEjectedBaseServer() bool {
 	return slices.ContainsFunc(r.base.all, func(s *server) bool { return s.ejectedUntil > r.now })
 }
 
