--- a/logic/api.go
+++ b/logic/api.go
@@ -119,9 +119,9 @@
 	ID      ServerID
 	Zone    string
 	Build   BuildID
-	Cell    int
+	Cell    int // see ScopeCell
 	State   ServerState
-	Weight  float64
+	Weight  float64       // capacity relative to other servers
 	Started time.Duration // 0: long ago
 }
 
@@ -184,7 +184,7 @@
 		Outcome      Outcome
 		Duration     time.Duration
 		Server       ServerID
-		Attempt      int
+		Attempt      int  // number of the attempt, from 0
 		RequestEnded bool // the request has ended too
 		AnswerBegun  bool // a good answer had begun to arrive, though it cannot be used
 		Load         *Load
--- a/logic/state.go
+++ b/logic/state.go
@@ -135,10 +135,10 @@
 	attempts             int
 	attemptInFlight      bool
 	server               *server       // of the last attempt
-	sentAt, mayHaveRunAt time.Duration // when the last attempt was sent; when the first that may have run was
+	sentAt, mayHaveRunAt time.Duration // when the last attempt was sent, and the first that may have run
 	sentRelease          ReleaseStatus // as known at the last send
 	sentToTrial          bool
-	sentTo, mayHaveRunOn Server // the server as listed at the last send; at that of the first that may have run
+	sentTo, mayHaveRunOn Server // the servers as listed at these two sends
 	mayHaveRun           bool
 	randomDraw           float64 // drawn once; compared with slowStartPart and requestFaultRetryPart
 	drawnForTrial, ended bool    // selected for the build on trial; answered, or its client has gone
@@ -245,8 +245,8 @@
 type errorSpans struct {
 	endsAt                        time.Duration // the end of the open span
 	skip                          bool          // the open span contains counts from long before it
-	startCounts                   Counts        // pooled counts at the begin of the open span
-	answers, errors               float64       // of the new build in the closed spans; wrong answers are errors
+	startCounts                   Counts        // pooled counts at the start of the open span
+	answers, errors               float64       // of the new build in closed spans; errors include wrong answers
 	expectedErrors, weightSquares float64       // errors expected at the old build's rate; see baselineWeight
 }
 
