--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -97,7 +97,7 @@
 	}
 	watcher := discovery.New(c.Discovery, backoff.ForDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, count, log)
 	if c.InitialHosts != nil { // the module's first event is the list, the next the platform's news
-		if err := watcher.Known(c.InitialHosts); err != nil {
+		if err := watcher.LoadKnownList(c.InitialHosts); err != nil {
 			log.Warn("starting without a list", zap.Error(err))
 		}
 	}
@@ -105,7 +105,7 @@
 	if c.Platform != "" {
 		desk = platform.New(c.Platform, backoff.ForPlatform(c.Seed), c.Limits, gw, count, log)
 		parts.Platform = desk
-		if news, err := platform.DecodeNews(c.InitialRelease); err == nil {
+		if news, err := platform.DecodeReleaseStatus(c.InitialRelease); err == nil {
 			gw.UpdateRelease(news)
 		} else {
 			log.Warn("starting without news of the newest build", zap.Error(err))
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -51,8 +51,8 @@
 		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}}
 }
 
-// Known takes the list as last held before this start.
-func (w *Watcher) Known(v *fastjson.Value) error {
+// LoadKnownList takes the list as last held before this start.
+func (w *Watcher) LoadKnownList(v *fastjson.Value) error {
 	l, err := Decode(v, w.clock)
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -125,8 +125,8 @@
 		StageAge: time.Duration(ageMS * float64(time.Millisecond))}, nil
 }
 
-// DecodeNews reads the state that the configuration holds.
-func DecodeNews(v *fastjson.Value) (logic.ReleaseStatus, error) {
+// DecodeReleaseStatus reads the state that the configuration holds.
+func DecodeReleaseStatus(v *fastjson.Value) (logic.ReleaseStatus, error) {
 	if v == nil || v.Type() != fastjson.TypeObject || !v.Exists(fieldBuild) {
 		return logic.ReleaseStatus{}, errState
 	}
