--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -48,7 +48,7 @@
 		}
 		reply.Reset()
 		for _, part := range batch.Parts {
-			actions, err := feed(routers, part, batch)
+			actions, err := handlePart(routers, part, batch)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", n, err)
 			}
@@ -63,7 +63,7 @@
 }
 
 // feed hands one instance its events, in order, and gathers its actions.
-func feed(routers map[int64]*logic.Router, part wire.Part, batch wire.Batch) ([]logic.Action, error) {
+func handlePart(routers map[int64]*logic.Router, part wire.Part, batch wire.Batch) ([]logic.Action, error) {
 	var actions []logic.Action
 	for _, in := range part.Inputs {
 		switch {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -14,26 +14,26 @@
 
 // Names of this deployment in discovery's lists.
 const (
-	pathList      = "/api/targets"
-	queryWatch    = "watch"
-	queryAfter    = "from"
-	fieldVersion  = "seq"
-	fieldFull     = "whole"
-	fieldList     = "hosts"
-	fieldID       = "host"
-	fieldAddr     = "dial"
-	fieldZone     = "site"
-	fieldCell     = "block"
-	fieldClass    = "class"
-	fieldState    = "health"
-	fieldWeight   = "share"
-	fieldStarted  = "born_ms"
-	fieldBuild    = "build"
-	highestBuild  = 1 << 16
-	longestString = 256
+	pathList        = "/api/targets"
+	queryWatch      = "watch"
+	queryAfter      = "from"
+	fieldVersion    = "seq"
+	fieldFull       = "whole"
+	fieldList       = "hosts"
+	fieldID         = "host"
+	fieldAddr       = "dial"
+	fieldZone       = "site"
+	fieldCell       = "block"
+	fieldClass      = "class"
+	fieldState      = "health"
+	fieldWeight     = "share"
+	fieldStarted    = "born_ms"
+	fieldBuild      = "build"
+	buildIDLimit    = 1 << 16
+	maxHostIDLength = 256
 )
 
-var states = map[string]logic.ServerState{"up": logic.Ready, "draining": logic.Draining, "removed": logic.Gone}
+var hostStates = map[string]logic.ServerState{"up": logic.Ready, "draining": logic.Draining, "removed": logic.Gone}
 
 // List is the whole list or the changes since an earlier one.
 type List struct {
@@ -73,14 +73,14 @@
 
 func decodeHost(e *fastjson.Value, clock gateway.Clock) (gateway.Host, bool) {
 	id, addr := e.GetStringBytes(fieldID), string(e.GetStringBytes(fieldAddr))
-	state, known := states[string(e.GetStringBytes(fieldState))]
+	state, known := hostStates[string(e.GetStringBytes(fieldState))]
 	build, weight := e.GetInt(fieldBuild), 1.0
 	if e.Exists(fieldWeight) {
 		weight = e.GetFloat64(fieldWeight)
 	}
 	_, _, err := net.SplitHostPort(addr)
-	if len(id) == 0 || len(id) > longestString || !known || err != nil && state != logic.Gone ||
-		build < 0 || build >= highestBuild || weight < 0 {
+	if len(id) == 0 || len(id) > maxHostIDLength || !known || err != nil && state != logic.Gone ||
+		build < 0 || build >= buildIDLimit || weight < 0 {
 		return gateway.Host{}, false
 	}
 	return gateway.Host{Addr: addr, Name: string(id), MachineClass: string(e.GetStringBytes(fieldClass)),
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -21,14 +21,14 @@
 
 // Peers is the socket towards the other routers.
 type Peers struct {
-	conn   *net.UDPConn
-	byNum  []netip.AddrPort
-	number map[netip.AddrPort]int
-	all    netip.AddrPort
-	limits config.Limits
-	count  *metrics.Registry
-	log    *zap.Logger
-	out    chan datagram
+	conn     *net.UDPConn
+	addrs    []netip.AddrPort
+	numbers  map[netip.AddrPort]int
+	allAddr  netip.AddrPort
+	limits   config.Limits
+	counters *metrics.Registry
+	log      *zap.Logger
+	outgoing chan datagram
 }
 
 type datagram struct {
@@ -37,29 +37,29 @@
 }
 
 // Listen opens the socket; peers are in the order of their numbers.
-func Listen(listen string, peers []string, all string, limits config.Limits, count *metrics.Registry,
+func Listen(listen string, peers []string, all string, limits config.Limits, counters *metrics.Registry,
 	log *zap.Logger) (*Peers, error) {
-	p := &Peers{number: map[netip.AddrPort]int{}, limits: limits, count: count, log: log,
-		out: make(chan datagram, limits.MaxOutgoing)}
+	p := &Peers{numbers: map[netip.AddrPort]int{}, limits: limits, counters: counters, log: log,
+		outgoing: make(chan datagram, limits.MaxOutgoing)}
 	for i, text := range peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", i, err)
 		}
-		p.byNum, p.number[addr] = append(p.byNum, addr), i
+		p.addrs, p.numbers[addr] = append(p.addrs, addr), i
 	}
 	if all != "" {
 		addr, err := netip.ParseAddrPort(all)
 		if err != nil {
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
-		p.all = addr
+		p.allAddr = addr
 	}
-	at, err := netip.ParseAddrPort(listen)
+	listenAddr, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
+	if p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAddr)); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	return p, nil
@@ -67,52 +67,52 @@
 
 // Post sends a message to one peer or to all; it never blocks, and a full queue drops it.
 func (p *Peers) Post(m logic.Post) {
-	to := p.all
+	to := p.allAddr
 	if m.Peer >= 0 {
-		if m.Peer >= len(p.byNum) {
-			p.count.Inc("peers.unknown_peer")
+		if m.Peer >= len(p.addrs) {
+			p.counters.Inc("peers.unknown_peer")
 			return
 		}
-		to = p.byNum[m.Peer]
+		to = p.addrs[m.Peer]
 	}
 	if len(m.Data) > p.limits.MaxDatagram || !to.IsValid() { // a longer one voids the run
-		p.count.Inc("peers.not_sent")
+		p.counters.Inc("peers.not_sent")
 		return
 	}
 	select {
-	case p.out <- datagram{to, m.Data}:
+	case p.outgoing <- datagram{to, m.Data}:
 	default:
-		p.count.Inc("peers.not_sent")
+		p.counters.Inc("peers.not_sent")
 	}
 }
 
 // Run sends and receives until ctx ends.
 func (p *Peers) Run(ctx context.Context, sink Sink) {
 	var work sync.WaitGroup
-	work.Go(func() { p.write(ctx) })
+	work.Go(func() { p.sendLoop(ctx) })
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
-	p.read(sink)
+	p.receiveLoop(sink)
 	work.Wait()
 }
 
-func (p *Peers) write(ctx context.Context) {
+func (p *Peers) sendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-p.out:
+		case d := <-p.outgoing:
 			if _, err := p.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
-				p.count.Inc("peers.send_errors")
+				p.counters.Inc("peers.send_errors")
 				continue
 			}
-			p.count.Inc("peers.sent")
+			p.counters.Inc("peers.sent")
 		}
 	}
 }
 
 // read hands messages on. What is too long, or comes from an address that is no peer's, is dropped.
-func (p *Peers) read(sink Sink) {
+func (p *Peers) receiveLoop(sink Sink) {
 	buf := make([]byte, p.limits.MaxDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -120,17 +120,17 @@
 			return
 		}
 		if err != nil { // an earlier datagram found nobody at its address
-			p.count.Inc("peers.receive_errors")
+			p.counters.Inc("peers.receive_errors")
 			continue
 		}
-		number, known := p.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		switch {
 		case !known:
-			p.count.Inc("peers.unknown_sender")
+			p.counters.Inc("peers.unknown_sender")
 		case n > p.limits.MaxDatagram:
-			p.count.Inc("peers.too_long")
+			p.counters.Inc("peers.too_long")
 		default:
-			p.count.Inc("peers.received")
+			p.counters.Inc("peers.received")
 			sink.DeliverPeerMessage(logic.PeerMessage{From: number, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -38,7 +38,7 @@
 		if i > 0 {
 			r.buf = append(r.buf, ',')
 		}
-		if err := r.action(a); err != nil {
+		if err := r.appendAction(a); err != nil {
 			return err
 		}
 	}
@@ -52,53 +52,53 @@
 	return r.buf
 }
 
-func (r *Reply) action(a logic.Action) error {
+func (r *Reply) appendAction(a logic.Action) error {
 	switch a := a.(type) {
 	case logic.Send:
-		r.open("place")
-		r.text(string(a.ID))
-		r.uint(uint64(a.Server))
-		r.millis(a.Timeout)
+		r.openAction("place")
+		r.appendString(string(a.ID))
+		r.appendUint(uint64(a.Server))
+		r.appendMillis(a.Timeout)
 	case logic.Cancel:
-		r.open("withdraw")
-		r.text(string(a.ID))
-		r.uint(uint64(a.Attempt))
+		r.openAction("withdraw")
+		r.appendString(string(a.ID))
+		r.appendUint(uint64(a.Attempt))
 	case logic.Close:
-		r.open("close")
-		r.uint(uint64(a.Server))
+		r.openAction("close")
+		r.appendUint(uint64(a.Server))
 	case logic.Refuse:
-		r.open("refuse")
-		r.text(string(a.ID))
-		r.millis(a.RetryAfter)
+		r.openAction("refuse")
+		r.appendString(string(a.ID))
+		r.appendMillis(a.RetryAfter)
 	case logic.Fail:
-		r.open("respond_error")
-		r.text(string(a.ID))
+		r.openAction("respond_error")
+		r.appendString(string(a.ID))
 	case logic.SetTimer:
-		r.open("timer")
-		r.millis(a.After)
-		r.uint(a.Token)
+		r.openAction("timer")
+		r.appendMillis(a.After)
+		r.appendUint(a.Token)
 	case logic.Probe:
-		r.open("ask_load")
-		r.uint(uint64(a.Server))
+		r.openAction("ask_load")
+		r.appendUint(uint64(a.Server))
 	case logic.Post:
-		r.open("post")
+		r.openAction("post")
 		if a.Peer < 0 {
 			r.buf = append(r.buf, ",null"...)
 		} else {
-			r.uint(uint64(a.Peer))
+			r.appendUint(uint64(a.Peer))
 		}
-		r.text(hex.EncodeToString(a.Data))
+		r.appendString(hex.EncodeToString(a.Data))
 	case logic.Vote:
-		r.open("vote")
-		r.uint(uint64(a.Build))
-		r.uint(uint64(a.Stage))
-		r.uint(uint64(verdictCode(a.Verdict)))
+		r.openAction("vote")
+		r.appendUint(uint64(a.Build))
+		r.appendUint(uint64(a.Stage))
+		r.appendUint(uint64(verdictCode(a.Verdict)))
 	case logic.Watch:
-		r.open("stream_changes")
+		r.openAction("stream_changes")
 		r.buf = append(r.buf, ",true"...)
 	case logic.Log:
-		r.open("debug")
-		r.text(a.Text)
+		r.openAction("debug")
+		r.appendString(a.Text)
 	default:
 		return fmt.Errorf("no wire form for action %T", a)
 	}
@@ -119,14 +119,14 @@
 	}
 }
 
-func (r *Reply) open(name string) {
+func (r *Reply) openAction(name string) {
 	r.buf = append(r.buf, '[', '"')
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, '"')
 }
 
 // text appends a JSON string; plain words, nearly all there are, skip the general encoder.
-func (r *Reply) text(s string) {
+func (r *Reply) appendString(s string) {
 	r.buf = append(r.buf, ',')
 	plain := true
 	for i := range len(s) {
@@ -140,12 +140,12 @@
 	r.buf = append(r.buf, quoted...)
 }
 
-func (r *Reply) uint(n uint64) {
+func (r *Reply) appendUint(n uint64) {
 	r.buf = append(r.buf, ',')
 	r.buf = strconv.AppendUint(r.buf, n, 10)
 }
 
-func (r *Reply) millis(d time.Duration) {
+func (r *Reply) appendMillis(d time.Duration) {
 	r.buf = append(r.buf, ',')
 	r.buf = strconv.AppendFloat(r.buf, float64(d.Microseconds())/1000, 'f', -1, 64)
 }
