--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill runs the decision module on the simulator's wire: batches on standard input, replies on
-// standard output. It hosts many independent instances, one router each.
+// Command drill connects the decision module to the simulator: it reads batches from standard input and writes replies to
+// standard output. One process holds many independent instances, each of which is one router.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	}
 }
 
-// run answers every batch on in with one line on out until in ends.
+// run reads batches from in until it ends and answers each with one line on out.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, 1<<20)
 	decoder := wire.NewDecoder()
@@ -62,7 +62,8 @@
 	}
 }
 
-// feed hands one instance its events, in order, and gathers its actions.
+// handlePart passes one instance its events in order and returns its actions. A crash removes the instance and discards the
+// actions that precede it in the batch.
 func handlePart(routers map[int64]*logic.Router, part wire.Part, batch wire.Batch) ([]logic.Action, error) {
 	var actions []logic.Action
 	for _, in := range part.Inputs {
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -5,17 +5,19 @@
 	"errors"
 )
 
-// objects puts lists together that come on a line each, or indented over several. An indented list begins with a line
-// that ends within it, goes on with lines that are set in, and ends with a brace that is not. Danger: a list that is cut
-// off must not swallow what is told after it; the next line that is not set in, and a sign of life, show that.
+// listAssembler assembles JSON lists that arrive either on one line or indented over several lines. An indented list
+// starts with a line that ends in an opening brace, an opening bracket or a comma, continues with indented lines and ends
+// with a closing brace that is not indented. A truncated list must not absorb the lists that follow it, so a heartbeat (an
+// empty line) or any other unindented line that does not start with a closing brace or bracket is reported as a truncation.
 type listAssembler struct{ partial []byte }
 
-var errListTruncated = errors.New("a list that breaks off")
+var errListTruncated = errors.New("list is truncated or too long")
 
-// open tells that a list has begun and not ended.
+// inProgress reports whether a list has started and not yet ended.
 func (o *listAssembler) inProgress() bool { return len(o.partial) > 0 }
 
-// line takes a line and gives the list that is whole with it; empty: none is. most bounds the bytes of a list.
+// addLine adds a line and returns the list that it completes, or nothing if no list is complete. A list longer than
+// maxBytes is an error.
 func (o *listAssembler) addLine(line []byte, maxBytes int) ([]byte, error) {
 	trimmed := bytes.TrimSpace(line)
 	if !o.inProgress() {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers exchanges messages with the other routers of the tier, by UDP.
+// Package peers exchanges UDP messages with the other routers of the tier (the peers).
 package peers
 
 import (
@@ -16,10 +16,10 @@
 	"merlinarch/logic"
 )
 
-// Sink takes the messages.
+// Sink receives the peers' messages.
 type Sink interface{ DeliverPeerMessage(logic.PeerMessage) }
 
-// Peers is the socket towards the other routers.
+// Peers is the UDP socket for messages to and from the other routers.
 type Peers struct {
 	conn     *net.UDPConn
 	addrs    []netip.AddrPort
@@ -31,12 +31,14 @@
 	outgoing chan datagram
 }
 
+// datagram is a message that waits to be sent.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// Listen opens the socket; peers are in the order of their numbers.
+// Listen opens the socket. Peers are listed in the order of their numbers; all is the address that reaches every peer, or
+// empty.
 func Listen(listen string, peers []string, all string, limits config.Limits, counters *metrics.Registry,
 	log *zap.Logger) (*Peers, error) {
 	p := &Peers{numbers: map[netip.AddrPort]int{}, limits: limits, counters: counters, log: log,
@@ -65,7 +67,8 @@
 	return p, nil
 }
 
-// Post sends a message to one peer or to all; it never blocks, and a full queue drops it.
+// Post queues a message to one peer, or to all peers if its number is negative. It never blocks: when the queue is full,
+// the message is dropped and counted.
 func (p *Peers) Post(m logic.Post) {
 	to := p.allAddr
 	if m.Peer >= 0 {
@@ -75,7 +78,7 @@
 		}
 		to = p.addrs[m.Peer]
 	}
-	if len(m.Data) > p.limits.MaxDatagram || !to.IsValid() { // a longer one voids the run
+	if len(m.Data) > p.limits.MaxDatagram || !to.IsValid() { // a longer message invalidates the run
 		p.counters.Inc("peers.not_sent")
 		return
 	}
@@ -96,6 +99,7 @@
 	work.Wait()
 }
 
+// sendLoop sends the queued messages until ctx ends.
 func (p *Peers) sendLoop(ctx context.Context) {
 	for {
 		select {
@@ -111,7 +115,8 @@
 	}
 }
 
-// read hands messages on. What is too long, or comes from an address that is no peer's, is dropped.
+// receiveLoop delivers received messages until the socket is closed. Messages that are too long or come from an unknown
+// address are dropped and counted.
 func (p *Peers) receiveLoop(sink Sink) {
 	buf := make([]byte, p.limits.MaxDatagram+1)
 	for {
@@ -119,7 +124,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an earlier datagram found nobody at its address
+		if err != nil { // an earlier datagram was sent to an address where nobody listens
 			p.counters.Inc("peers.receive_errors")
 			continue
 		}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform speaks with the release platform: it watches the newest build's state and casts votes,
-// on one connection that it renews when it breaks, falls silent or says what can't be read.
+// Package platform is the client of the release platform. It watches the newest build's status and casts votes over one
+// connection, which it replaces when it breaks, falls silent or delivers something unreadable.
 package platform
 
 import (
@@ -22,25 +22,25 @@
 	"merlinarch/logic"
 )
 
-// Sink takes the news and the replies to votes.
+// Sink receives release statuses and the replies to votes.
 type Sink interface{ UpdateRelease(logic.ReleaseStatus) }
 
-// call is one that waits for its answer, in the order of writing.
+// call is a line sent to the platform. Answers arrive in the order in which the calls were written.
 type call struct {
 	isVote  bool
-	timeout *time.Timer // gives up the wait for a vote's answer
-	done    bool        // it has, and the module was told
+	timeout *time.Timer // fires when a vote has waited too long; nil for WATCH
+	done    bool        // answered, expired or not written
 }
 
-// line is one connection to the platform.
+// watchConn is a connection to the platform with the calls that await an answer on it.
 type watchConn struct {
 	place   *reconnect.Place
 	conn    net.Conn
-	pending []*call // written, not answered
-	closing bool    // nothing more is written: it ends once what waits is answered
+	pending []*call // written and not yet answered, in order
+	closing bool    // no further calls are written; the connection is closed once pending is empty
 }
 
-// Client speaks with the platform.
+// Client watches releases and casts votes at the platform's present address.
 type Client struct {
 	*reconnect.Follower
 	limits   config.Limits
@@ -49,38 +49,40 @@
 	votes    chan logic.Vote
 
 	mu    sync.Mutex
-	conns []*watchConn // those that stand, the newest last
+	conns []*watchConn // the open connections, the newest last
 
-	deliveryMu sync.Mutex // held while news are handed on, so that they keep their order
+	deliveryMu sync.Mutex // held while a status is delivered, so that statuses keep their order
 	latest     logic.ReleaseStatus
 }
 
-// New makes a client; Run starts it.
+// New returns a client; Run starts it.
 func New(addr string, policy backoff.Policy, limits config.Limits, sink Sink, counters *metrics.Registry,
 	log *zap.Logger) *Client {
 	return &Client{Follower: reconnect.New("platform", addr, policy, limits, func() {}, counters, log), limits: limits, sink: sink,
 		counters: counters, votes: make(chan logic.Vote, limits.MaxOutgoing)}
 }
 
-// Vote casts a vote; it never blocks. The reply comes through the sink.
+// Vote queues a vote and never blocks. The reply is delivered to the sink.
 func (c *Client) Vote(v logic.Vote) {
 	select {
 	case c.votes <- v:
-	default: // the reply must not be told from here: the loop is the caller
+	default: // the event loop is the caller, so the reply is delivered from another goroutine
 		c.counters.Inc("platform.votes_dropped")
 		time.AfterFunc(0, func() { c.deliverReply(logic.ReleaseStatus{IsReply: true, Reply: logic.VoteError}) })
 	}
 }
 
+// deliverReply counts a reply and passes it to the sink.
 func (c *Client) deliverReply(e logic.ReleaseStatus) {
 	c.counters.Inc("platform.replies_" + replyNames[e.Reply])
 	c.sink.UpdateRelease(e)
 }
 
+// replyNames holds the endings of the counters' names.
 var replyNames = map[logic.VoteReply]string{logic.VoteCounted: "ok", logic.VoteStale: "stale",
 	logic.VoteThrottled: "busy", logic.VoteError: "failed", logic.VoteTimedOut: "timeout"}
 
-// Run keeps a connection until ctx ends.
+// Run keeps a connection to the platform and casts the queued votes until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	work.Go(func() { c.writeVotes(ctx) })
@@ -88,7 +90,8 @@
 	c.Follower.Run(ctx, func() reconnect.Session { return c.runSession })
 }
 
-// session holds one connection until it breaks, or until a later address has spoken and all calls are answered.
+// runSession keeps one connection open until it breaks, or until a later address has delivered something and all calls on
+// this connection are answered.
 func (c *Client) runSession(ctx context.Context, place *reconnect.Place) error {
 	dialer := net.Dialer{Timeout: c.limits.ControlDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", place.Addr)
@@ -101,7 +104,7 @@
 	if err = c.writeCall(wc, callWatch+"\r\n", false); err == nil {
 		if n := len(c.conns); place.Newest() {
 			c.conns = append(c.conns, wc)
-		} else { // made while a later address came: votes go there
+		} else { // the address changed during the dial: votes go to the newest address
 			c.conns = slices.Insert(c.conns, max(0, n-1), wc)
 		}
 	}
@@ -113,16 +116,16 @@
 	defer context.AfterFunc(place.Replaced(), func() { c.closeWhenIdle(wc) })()
 	r := bufio.NewReaderSize(conn, c.limits.MaxPlatformLine)
 	for {
-		// Danger: a connection to a platform that was cut off stays open and silent; with no sign of life
-		// it counts as broken.
+		// A connection to a platform that has lost its network stays open and silent, so a connection
+		// without heartbeats is treated as broken.
 		if err := conn.SetReadDeadline(time.Now().Add(c.limits.PlatformSilenceTimeout)); err != nil {
 			return fmt.Errorf("platform: %w", err)
 		}
 		text, err := r.ReadSlice('\n')
-		if err != nil { // a line that fills the buffer ends the connection too
+		if err != nil { // this includes a line that does not fit the buffer
 			return fmt.Errorf("platform: %w", err)
 		}
-		// Danger: behind a line that can't be read, an answer may belong to any call. Nothing more is read.
+		// After an unreadable line, answers can no longer be matched to their calls, so nothing more is read.
 		if err := c.handleLine(wc, string(text)); err != nil {
 			c.counters.Inc("platform.unreadable")
 			return err
@@ -130,7 +133,7 @@
 	}
 }
 
-// take reads one line.
+// handleLine processes one line: either an unsolicited line or the answer to the first pending call.
 func (c *Client) handleLine(wc *watchConn, text string) error {
 	text, terminated := strings.CutSuffix(text, "\r\n")
 	if !terminated {
@@ -154,7 +157,7 @@
 	}
 	first := wc.pending[0]
 	e, err := first.parse(text)
-	if err != nil { // the call stays: it ends with the connection, and a vote may have counted
+	if err != nil { // the call stays pending and ends with the connection; a vote may have counted
 		c.mu.Unlock()
 		return err
 	}
@@ -162,7 +165,7 @@
 	delivered := !first.isVote || first.done
 	first.done = true
 	if wc.closing && len(wc.pending) == 0 {
-		wc.conn.Close() // nothing waits any more
+		wc.conn.Close() // no calls are pending
 	}
 	c.mu.Unlock()
 	if !delivered {
@@ -173,8 +176,9 @@
 	return nil
 }
 
-// tell hands on what a line has brought. Danger: where a later address has spoken, an earlier one's state of the
-// build is out of date, though its answer to a vote holds.
+// deliver passes a status or a vote's reply to the sink. Once a later address has delivered something, the statuses of
+// earlier addresses are outdated and discarded, but their replies to votes are still valid: the reply to a counted vote is
+// delivered with the latest status instead.
 func (c *Client) deliver(wc *watchConn, e logic.ReleaseStatus) {
 	c.deliveryMu.Lock()
 	defer c.deliveryMu.Unlock()
@@ -192,7 +196,7 @@
 	c.sink.UpdateRelease(e)
 }
 
-// finish has a line end as soon as nothing waits on it.
+// closeWhenIdle closes a connection as soon as no calls are pending on it.
 func (c *Client) closeWhenIdle(wc *watchConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,7 +207,7 @@
 
 var errNotConnected = errors.New("platform: not connected")
 
-// call writes one call. The lock is held.
+// writeCall writes one call and adds it to the pending calls. The caller holds c.mu.
 func (c *Client) writeCall(wc *watchConn, text string, isVote bool) error {
 	newCall := &call{isVote: isVote}
 	if isVote {
@@ -217,17 +221,17 @@
 	if err == nil {
 		return nil
 	}
-	// Not written whole: it was not carried out.
+	// The platform does not carry out an incomplete line.
 	wc.pending = wc.pending[:len(wc.pending)-1]
 	if newCall.timeout != nil {
 		newCall.timeout.Stop()
 	}
 	newCall.done = true
-	wc.conn.Close() // the session ends by it
+	wc.conn.Close() // this ends the session
 	return fmt.Errorf("platform: %w", err)
 }
 
-// expire ends the wait for a vote's answer; its place in the order stays.
+// expireVote ends the wait for a vote's answer. The call stays pending, because answers are matched by order.
 func (c *Client) expireVote(expired *call) {
 	c.mu.Lock()
 	alreadyDone := expired.done
@@ -238,7 +242,8 @@
 	}
 }
 
-// broken ends what waited on a connection: what was written may have been carried out.
+// handleDisconnect closes a connection and ends the wait for its pending votes with VoteTimedOut, since votes that were
+// written may have counted.
 func (c *Client) handleDisconnect(wc *watchConn) {
 	wc.conn.Close()
 	c.mu.Lock()
@@ -253,7 +258,7 @@
 	}
 }
 
-// write casts the votes.
+// writeVotes writes the queued votes to the newest connection until ctx ends.
 func (c *Client) writeVotes(ctx context.Context) {
 	for {
 		select {
@@ -267,7 +272,7 @@
 				err = c.writeCall(c.conns[n-1], formatVote(v), true)
 			}
 			c.mu.Unlock()
-			if err != nil { // not written whole, so not carried out
+			if err != nil { // not written completely, so not carried out
 				c.deliverReply(logic.ReleaseStatus{IsReply: true, Reply: logic.VoteError})
 			}
 		}
--- a/internal/platform/lines.go
+++ b/internal/platform/lines.go
@@ -13,7 +13,7 @@
 	"merlinarch/logic"
 )
 
-// Words of this deployment's platform.
+// Words and fields of the platform's line protocol, and the limits on what it may report.
 const (
 	callWatch       = "WATCH"
 	callVote        = "VOTE"
@@ -28,33 +28,36 @@
 	fieldCap   = "exposure"
 	fieldAge   = "old_ms"
 
-	buildIDLimit = 1 << 16
-	stageLimit   = 1 << 10
+	buildIDLimit = 1 << 16 // all build IDs are below it
+	stageLimit   = 1 << 10 // all stages are below it
 )
 
+// verdictWords maps verdicts to the words in a VOTE line.
 var verdictWords = map[logic.Verdict]string{logic.VoteNone: "blank", logic.VoteAdvance: "go", logic.VoteHold: "stay",
 	logic.VoteRollBack: "stop"}
 
+// phasesByWord maps the words for a release's phase to phases.
 var phasesByWord = map[string]logic.Phase{"trial": logic.OnTrial, "rolling_back": logic.RollingBack,
 	"released": logic.Released, "withdrawn": logic.Withdrawn}
 
+// refusalReplies maps the words after ERR to replies.
 var refusalReplies = map[string]logic.VoteReply{"BUSY": logic.VoteThrottled, "STALE": logic.VoteStale,
 	"FAILED": logic.VoteError, "SYNTAX": logic.VoteError}
 
-// otherKinds are what the platform may tell besides news, on other deployments.
+// ignoredKinds are the kinds of unsolicited lines besides release statuses that the platform sends in other deployments.
 var ignoredKinds = []string{"counts", "report"}
 
-// formatVote writes a vote as a call.
+// formatVote formats a vote as a VOTE line.
 func formatVote(v logic.Vote) string {
 	return fmt.Sprintf("%s %d %d %s\r\n", callVote, v.Build, v.Stage, verdictWords[v.Verdict])
 }
 
-// unreadable is the error of a line that can't be read.
+// unreadableLineError returns the error for a line that can't be parsed.
 func unreadableLineError(text string) error {
 	return fmt.Errorf("platform: unreadable line %.80q", text)
 }
 
-// parse reads the answer to a call.
+// parse parses the answer to a call. The answer to WATCH carries no status.
 func (c *call) parse(text string) (logic.ReleaseStatus, error) {
 	if c.isVote {
 		return parseVoteReply(text)
@@ -65,7 +68,7 @@
 	return logic.ReleaseStatus{}, nil
 }
 
-// parseReply reads the answer to a vote.
+// parseVoteReply parses the answer to a vote.
 func parseVoteReply(text string) (logic.ReleaseStatus, error) {
 	words := strings.Split(text, " ")
 	switch {
@@ -82,7 +85,7 @@
 	return logic.ReleaseStatus{}, unreadableLineError(text)
 }
 
-// parseUnsaid reads a line told unasked; news is false for a sign of life and for other kinds.
+// parseUnsolicited parses a line that answers no call. isStatus is false for a heartbeat and for lines of other kinds.
 func parseUnsolicited(text string) (e logic.ReleaseStatus, isStatus bool, err error) {
 	words := strings.Split(text, " ")
 	switch {
@@ -99,11 +102,11 @@
 	return e, true, nil
 }
 
-var errInvalidStatus = errors.New("state of the build can't be read")
+var errInvalidStatus = errors.New("invalid release status")
 
-// parseState reads build, stage, phase, cap and age.
+// parseStatus parses a status, which consists of build, stage, phase, exposure cap and age of the stage.
 func parseStatus(words []string) (logic.ReleaseStatus, error) {
-	if len(words) != 5 { // a part, or noise behind
+	if len(words) != 5 { // truncated, or followed by something else
 		return logic.ReleaseStatus{}, errInvalidStatus
 	}
 	build, err1 := strconv.Atoi(words[0])
@@ -116,7 +119,7 @@
 	return newReleaseStatus(build, stage, words[2], exposureCap, age)
 }
 
-// state checks the fields of a state.
+// newReleaseStatus checks the fields of a status and returns it.
 func newReleaseStatus(build, stage int, phase string, exposureCap, ageMS float64) (logic.ReleaseStatus, error) {
 	p, ok := phasesByWord[phase]
 	if !ok || build < 0 || build >= buildIDLimit || stage < 0 || stage >= stageLimit ||
@@ -127,7 +130,7 @@
 		StageAge: time.Duration(ageMS * float64(time.Millisecond))}, nil
 }
 
-// DecodeReleaseStatus reads the state that the configuration holds.
+// DecodeReleaseStatus decodes the release status that the configuration holds.
 func DecodeReleaseStatus(v *fastjson.Value) (logic.ReleaseStatus, error) {
 	if v == nil || v.Type() != fastjson.TypeObject || !v.Exists(fieldBuild) {
 		return logic.ReleaseStatus{}, errInvalidStatus
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's line protocol and the decision module's interface.
-// It decides nothing.
+// Package wire translates between the simulator's line protocol and the interface of the decision module in package logic.
+// It makes no decisions itself.
 package wire
 
 import (
@@ -13,6 +13,7 @@
 	"merlinarch/logic"
 )
 
+// outcomesByCode, voteRepliesByCode and statesByName map the protocol's values to those of package logic.
 var outcomesByCode = map[uint64]logic.Outcome{200: logic.OK, 502: logic.ServerError, 429: logic.Rejected,
 	408: logic.TimedOut, 521: logic.ConnectFailed, 520: logic.Reset, 444: logic.Cancelled, 409: logic.NotSent}
 
@@ -21,41 +22,41 @@
 
 var statesByName = map[string]logic.ServerState{"SERVING": logic.Ready, "DRAINING": logic.Draining, "DELETED": logic.Gone}
 
-// Input is one event for one instance.
+// Input is one event for one instance. Exactly one of Boot, Crash and Event is set.
 type Input struct {
 	Boot  *Boot       // set when the instance starts
-	Crash bool        // set when the instance was killed
-	Event logic.Event // otherwise
+	Crash bool        // set when the instance has been killed
+	Event logic.Event // any other event
 }
 
-// Boot carries what an instance starts with.
+// Boot holds the seed and the settings with which an instance starts.
 type Boot struct {
 	Seed     uint64
 	Settings logic.Settings
 }
 
-// Part is the events of one instance in a batch.
+// Part holds the events for one instance in a batch.
 type Part struct {
 	Instance int64
 	Inputs   []Input
 }
 
-// Batch is one decoded line.
+// Batch is one decoded line: the current time and the events per instance.
 type Batch struct {
 	Now   time.Duration
 	Parts []Part
 }
 
-// Decoder reads batches. It keeps the numbered server lists, which outlive a batch.
+// Decoder decodes batches. It keeps the numbered server lists, because later batches may refer to them.
 type Decoder struct {
 	parser      fastjson.Parser
 	serverLists map[int][]logic.Server
 }
 
-// NewDecoder returns a decoder that knows no lists yet.
+// NewDecoder returns a decoder without any server lists.
 func NewDecoder() *Decoder { return &Decoder{serverLists: map[int][]logic.Server{}} }
 
-// Decode reads one line.
+// Decode decodes one line.
 func (d *Decoder) Decode(line []byte) (Batch, error) {
 	v, err := d.parser.ParseBytes(line)
 	if err != nil {
@@ -101,13 +102,14 @@
 	return batch, nil
 }
 
-// fields reads the values of one message and remembers the first thing wrong with them.
+// fields reads the values of one event, which follow its name, and keeps the first error.
 type fields struct {
 	name   string
 	values []*fastjson.Value
 	err    error
 }
 
+// value returns the value at index i if it has the given type. A missing or null value is an error only if required.
 func (f *fields) value(i int, kind fastjson.Type, required bool) *fastjson.Value {
 	if i >= len(f.values) || f.values[i].Type() == fastjson.TypeNull {
 		if required && f.err == nil {
@@ -185,7 +187,7 @@
 	return o
 }
 
-// load reads a load report; values of unknown names are skipped.
+// load reads an optional load report. Unknown names are skipped.
 func (f *fields) load(i int) *logic.Load {
 	v := f.value(i, fastjson.TypeObject, false)
 	if v == nil {
@@ -200,7 +202,7 @@
 	return &l
 }
 
-// event reads one event; skip is set for events that only concern the decoder.
+// decodeEvent decodes one event. skip is set for events that concern only the decoder, such as a server list.
 func (d *Decoder) decodeEvent(v *fastjson.Value) (in Input, skip bool, err error) {
 	arr, err := v.Array()
 	if err != nil {
@@ -262,9 +264,11 @@
 	return in, skip, f.err
 }
 
+// decodeRequest decodes the arrival of a request. Bit 0 of the value at index 6 says that the expected work is given, bit
+// 1 that the client marked the request as a retry.
 func decodeRequest(f *fields) logic.Event {
 	r := logic.RequestArrived{ID: logic.RequestID(f.text(0)), Class: f.text(1), TimeLeft: f.millis(4)}
-	if len(f.values) > 2 { // sites without tenants send 0 or nothing
+	if len(f.values) > 2 { // sites without tenants send 0 or nothing here
 		r.Tenant = string(f.values[2].GetStringBytes())
 	}
 	if v := f.value(3, fastjson.TypeNumber, false); v != nil {
@@ -281,7 +285,7 @@
 	return r
 }
 
-// release reads news of the newest build; a reply that did not succeed brings nothing but how it went.
+// decodeReleaseStatus decodes the status of the newest build. A reply other than VoteCounted carries no status.
 func decodeReleaseStatus(f *fields) logic.Event {
 	reply, ok := voteRepliesByCode[f.uint(4)]
 	if !ok && f.err == nil {
@@ -300,6 +304,7 @@
 	return e
 }
 
+// decodeUpdate decodes an update of the server list: full ("F" or "C"), a change ("D") or a failure ("X").
 func (d *Decoder) decodeUpdate(f *fields) logic.Event {
 	f.uint(0)
 	mode := f.text(1)
@@ -321,6 +326,7 @@
 	return e
 }
 
+// decodeServers decodes the entries of a server list.
 func decodeServers(entries []*fastjson.Value) ([]logic.Server, error) {
 	list := make([]logic.Server, 0, len(entries))
 	for i, e := range entries {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,19 +10,19 @@
 	"merlinarch/logic"
 )
 
-// Reply builds one reply line.
+// Reply builds one reply line of the simulator's protocol.
 type Reply struct {
 	buf   []byte
 	parts int
 }
 
-// Reset begins a new reply.
+// Reset starts a new reply.
 func (r *Reply) Reset() {
 	r.buf = append(r.buf[:0], `{"parts":[`...)
 	r.parts = 0
 }
 
-// Add appends the actions of one instance.
+// Add appends the actions of one instance. An instance without actions is left out.
 func (r *Reply) Add(instance int64, actions []logic.Action) error {
 	if len(actions) == 0 {
 		return nil
@@ -52,6 +52,7 @@
 	return r.buf
 }
 
+// appendAction appends one action as a JSON array.
 func (r *Reply) appendAction(a logic.Action) error {
 	switch a := a.(type) {
 	case logic.Send:
@@ -106,6 +107,7 @@
 	return nil
 }
 
+// verdictCode returns the protocol's number for a verdict.
 func verdictCode(v logic.Verdict) int {
 	switch v {
 	case logic.VoteAdvance:
@@ -119,13 +121,14 @@
 	}
 }
 
+// openAction appends the opening bracket and the name of an action.
 func (r *Reply) openAction(name string) {
 	r.buf = append(r.buf, '[', '"')
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, '"')
 }
 
-// text appends a JSON string; plain words, nearly all there are, skip the general encoder.
+// appendString appends a JSON string. Plain ASCII, which nearly all strings are, bypasses the general encoder.
 func (r *Reply) appendString(s string) {
 	r.buf = append(r.buf, ',')
 	plain := true
@@ -136,7 +139,7 @@
 		r.buf = append(append(append(r.buf, '"'), s...), '"')
 		return
 	}
-	quoted, _ := json.Marshal(s) // a string always has a JSON form
+	quoted, _ := json.Marshal(s) // encoding a string never fails
 	r.buf = append(r.buf, quoted...)
 }
 
@@ -145,6 +148,7 @@
 	r.buf = strconv.AppendUint(r.buf, n, 10)
 }
 
+// appendMillis appends a duration in milliseconds, in steps of a microsecond.
 func (r *Reply) appendMillis(d time.Duration) {
 	r.buf = append(r.buf, ',')
 	r.buf = strconv.AppendFloat(r.buf, float64(d.Microseconds())/1000, 'f', -1, 64)
