--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -43,7 +43,7 @@
 	hasKnownList bool       // separate from knownVersion, because version 0 is valid
 }
 
-// New returns a watcher; Run starts it.
+// New returns a watcher for discovery at addr; Run starts it.
 func New(addr string, policy backoff.Policy, limits config.Limits, clock gateway.Clock, sink Sink, counters *metrics.Registry,
 	log *zap.Logger) *Watcher {
 	return &Watcher{Follower: reconnect.New("discovery", addr, policy, limits, sink.DiscoveryFailed, counters, log),
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,9 +22,9 @@
 // Peers is the UDP socket for messages to and from the other routers.
 type Peers struct {
 	conn     *net.UDPConn
-	addrs    []netip.AddrPort
-	numbers  map[netip.AddrPort]int
-	allAddr  netip.AddrPort
+	addrs    []netip.AddrPort       // by peer number
+	numbers  map[netip.AddrPort]int // the peers' numbers by address
+	allAddr  netip.AddrPort         // reaches every peer; the zero value if there is none
 	limits   config.Limits
 	counters *metrics.Registry
 	log      *zap.Logger
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -51,11 +51,11 @@
 	mu    sync.Mutex
 	conns []*watchConn // the open connections, the newest last
 
-	deliveryMu sync.Mutex // held while a status is delivered, so that statuses keep their order
-	latest     logic.ReleaseStatus
+	deliveryMu sync.Mutex          // held while a status is delivered, so that statuses keep their order
+	latest     logic.ReleaseStatus // the status delivered last; guarded by deliveryMu
 }
 
-// New returns a client; Run starts it.
+// New returns a client for the platform at addr; Run starts it.
 func New(addr string, policy backoff.Policy, limits config.Limits, sink Sink, counters *metrics.Registry,
 	log *zap.Logger) *Client {
 	return &Client{Follower: reconnect.New("platform", addr, policy, limits, func() {}, counters, log), limits: limits, sink: sink,
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -236,6 +236,7 @@
 	}
 }
 
+// A vote that could not be written has not been counted, so it must end as failed.
 func TestVoteWithoutConnection(t *testing.T) {
 	limits := testLimits()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
