--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers exchanges messages with the other routers of the tier, by UDP.
+// Package peers exchanges UDP messages with the other routers of the tier (the peers).
 package peers
 
 import (
@@ -16,121 +16,126 @@
 	"merlinarch/logic"
 )
 
-// Sink takes the messages.
+// Sink receives the peers' messages.
 type Sink interface{ DeliverPeerMessage(logic.PeerMessage) }
 
-// Peers is the socket towards the other routers.
+// Peers is the UDP socket for messages to and from the other routers.
 type Peers struct {
-	conn   *net.UDPConn
-	byNum  []netip.AddrPort
-	number map[netip.AddrPort]int
-	all    netip.AddrPort
-	limits config.Limits
-	count  *metrics.Registry
-	log    *zap.Logger
-	out    chan datagram
+	conn     *net.UDPConn
+	addrs    []netip.AddrPort       // by peer number
+	numbers  map[netip.AddrPort]int // the peers' numbers by address
+	allAddr  netip.AddrPort         // reaches every peer; the zero value if there is none
+	limits   config.Limits
+	counters *metrics.Registry
+	log      *zap.Logger
+	outgoing chan datagram
 }
 
+// datagram is a message that waits to be sent.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// Listen opens the socket; peers are in the order of their numbers.
-func Listen(listen string, peers []string, all string, limits config.Limits, count *metrics.Registry,
+// Listen opens the socket. Peers are listed in the order of their numbers; all is the address that reaches every peer, or
+// empty.
+func Listen(listen string, peers []string, all string, limits config.Limits, counters *metrics.Registry,
 	log *zap.Logger) (*Peers, error) {
-	p := &Peers{number: map[netip.AddrPort]int{}, limits: limits, count: count, log: log,
-		out: make(chan datagram, limits.MaxOutgoing)}
+	p := &Peers{numbers: map[netip.AddrPort]int{}, limits: limits, counters: counters, log: log,
+		outgoing: make(chan datagram, limits.MaxOutgoing)}
 	for i, text := range peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", i, err)
 		}
-		p.byNum, p.number[addr] = append(p.byNum, addr), i
+		p.addrs, p.numbers[addr] = append(p.addrs, addr), i
 	}
 	if all != "" {
 		addr, err := netip.ParseAddrPort(all)
 		if err != nil {
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
-		p.all = addr
+		p.allAddr = addr
 	}
-	at, err := netip.ParseAddrPort(listen)
+	listenAddr, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
+	if p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAddr)); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	return p, nil
 }
 
-// Post sends a message to one peer or to all; it never blocks, and a full queue drops it.
+// Post queues a message to one peer, or to all peers if its number is negative. It never blocks: when the queue is full,
+// the message is dropped and counted.
 func (p *Peers) Post(m logic.Post) {
-	to := p.all
+	to := p.allAddr
 	if m.Peer >= 0 {
-		if m.Peer >= len(p.byNum) {
-			p.count.Inc("peers.unknown_peer")
+		if m.Peer >= len(p.addrs) {
+			p.counters.Inc("peers.unknown_peer")
 			return
 		}
-		to = p.byNum[m.Peer]
+		to = p.addrs[m.Peer]
 	}
-	if len(m.Data) > p.limits.MaxDatagram || !to.IsValid() { // a longer one voids the run
-		p.count.Inc("peers.not_sent")
+	if len(m.Data) > p.limits.MaxDatagram || !to.IsValid() { // a longer message invalidates the run
+		p.counters.Inc("peers.not_sent")
 		return
 	}
 	select {
-	case p.out <- datagram{to, m.Data}:
+	case p.outgoing <- datagram{to, m.Data}:
 	default:
-		p.count.Inc("peers.not_sent")
+		p.counters.Inc("peers.not_sent")
 	}
 }
 
 // Run sends and receives until ctx ends.
 func (p *Peers) Run(ctx context.Context, sink Sink) {
 	var work sync.WaitGroup
-	work.Go(func() { p.write(ctx) })
+	work.Go(func() { p.sendLoop(ctx) })
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
-	p.read(sink)
+	p.receiveLoop(sink)
 	work.Wait()
 }
 
-func (p *Peers) write(ctx context.Context) {
+// sendLoop sends the queued messages until ctx ends.
+func (p *Peers) sendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-p.out:
+		case d := <-p.outgoing:
 			if _, err := p.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
-				p.count.Inc("peers.send_errors")
+				p.counters.Inc("peers.send_errors")
 				continue
 			}
-			p.count.Inc("peers.sent")
+			p.counters.Inc("peers.sent")
 		}
 	}
 }
 
-// read hands messages on. What is too long, or comes from an address that is no peer's, is dropped.
-func (p *Peers) read(sink Sink) {
+// receiveLoop delivers received messages until the socket is closed. Messages that are too long or come from an unknown
+// address are dropped and counted.
+func (p *Peers) receiveLoop(sink Sink) {
 	buf := make([]byte, p.limits.MaxDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an earlier datagram found nobody at its address
-			p.count.Inc("peers.receive_errors")
+		if err != nil { // an earlier datagram was sent to an address where nobody listens
+			p.counters.Inc("peers.receive_errors")
 			continue
 		}
-		number, known := p.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		switch {
 		case !known:
-			p.count.Inc("peers.unknown_sender")
+			p.counters.Inc("peers.unknown_sender")
 		case n > p.limits.MaxDatagram:
-			p.count.Inc("peers.too_long")
+			p.counters.Inc("peers.too_long")
 		default:
-			p.count.Inc("peers.received")
+			p.counters.Inc("peers.received")
 			sink.DeliverPeerMessage(logic.PeerMessage{From: number, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
