--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -91,10 +91,10 @@
 		if err != nil {
 			return ruleset.Answer{}, err
 		}
-		ask := accord.Ask{Cluster: cluster, ChangeRequest: ruleset.ChangeRequest{Key: rand.Text(), BaseVersion: s.Head.Version, Author: o.author, Reason: o.reason,
+		ask := accord.OperatorRequest{Cluster: cluster, ChangeRequest: ruleset.ChangeRequest{Key: rand.Text(), BaseVersion: s.Head.Version, Author: o.author, Reason: o.reason,
 			Forced: o.force, Changes: changes}}
 		var a ruleset.Answer
-		if err := c.Do(ctx, accord.PathAsk, ask, &a); err != nil {
+		if err := c.Do(ctx, accord.PathChange, ask, &a); err != nil {
 			return a, failure{err}
 		}
 		if a.Refused == ruleset.RefusedStale { // others change the rules too
@@ -145,8 +145,8 @@
 
 // printBounds tells where D is longer than the settings say.
 func printBounds(out io.Writer, s accord.Status) {
-	for _, site := range slices.Sorted(maps.Keys(s.Bounds)) {
-		fmt.Fprintf(out, "site %s is about to be cut off: its dispatchers have longer leases, and D is %s there\n", site, s.Bounds[site])
+	for _, site := range slices.Sorted(maps.Keys(s.StalenessBoundBySite)) {
+		fmt.Fprintf(out, "site %s is about to be cut off: its dispatchers have longer leases, and D is %s there\n", site, s.StalenessBoundBySite[site])
 	}
 }
 
@@ -276,7 +276,7 @@
 				return err
 			}
 			defer stop()
-			if err := client.Do(ctx, accord.PathRetire, accord.Retire{Cluster: cluster, Name: args[0], Author: o.author, Reason: o.reason,
+			if err := client.Do(ctx, accord.PathRetire, accord.RetireRequest{Cluster: cluster, Name: args[0], Author: o.author, Reason: o.reason,
 				Forced: o.force}, nil); err != nil {
 				return failure{err}
 			}
@@ -315,7 +315,7 @@
 }
 
 func printStatus(out io.Writer, s accord.Status) {
-	fmt.Fprintf(out, "cluster %s, version %d, leader %s in term %d, D %s\n", s.Cluster, s.Head.Version, s.Role.Name, s.Role.Term, s.Bound)
+	fmt.Fprintf(out, "cluster %s, version %d, leader %s in term %d, D %s\n", s.Cluster, s.Head.Version, s.Role.Name, s.Role.Term, s.StalenessBound)
 	printBounds(out, s)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
@@ -326,11 +326,11 @@
 		}
 		fmt.Fprintf(w, "%s\n", lapsedText(c))
 	}
-	for _, x := range s.Waiting {
+	for _, x := range s.PendingChanges {
 		fmt.Fprintf(w, "waits\tversion %d\t%s %s\t\t%s: %s\n", x.Version, x.Change.Kind, x.Change.Name, x.Author, x.Reason)
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Work)) {
-		x := s.Work[name]
+	for _, name := range slices.Sorted(maps.Keys(s.Dispatches)) {
+		x := s.Dispatches[name]
 		fmt.Fprintf(w, "dispatch\t%s\t%s\t%s\t%s\n", name, x.Progress, x.Owner, x.Reason)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Sites)) {
@@ -343,15 +343,15 @@
 	}
 	for _, d := range s.Dispatchers {
 		heard := "not heard by this leader"
-		if d.Heard {
-			heard = "heard " + d.Ago + " ago"
+		if d.SeenByLeader {
+			heard = "heard " + d.SinceLastBeat + " ago"
 		}
-		if len(d.Unknown) > 0 {
-			heard += "; does not understand " + strings.Join(d.Unknown, ", ")
+		if len(d.UnknownKinds) > 0 {
+			heard += "; does not understand " + strings.Join(d.UnknownKinds, ", ")
 		}
-		fmt.Fprintf(w, "dispatcher\t%s\tholds %d\t%s\t%s\n", d.Name, d.Holds, d.Mode, heard)
+		fmt.Fprintf(w, "dispatcher\t%s\tholds %d\t%s\t%s\n", d.Name, d.HeldVersion, d.Mode, heard)
 	}
-	for _, name := range s.Expected {
+	for _, name := range s.MissingDispatchers {
 		fmt.Fprintf(w, "expected\t%s\tnot in the record\n", name)
 	}
 }
--- a/cmd/merlinarch/ledger.go
+++ b/cmd/merlinarch/ledger.go
@@ -173,7 +173,7 @@
 	case "json":
 		e := json.NewEncoder(w)
 		e.SetIndent("", " ")
-		return e.Encode(map[string]any{"instance": v.Life.Instance, "incarnation": v.Life.Incarnation, "entries": v.Entries,
+		return e.Encode(map[string]any{"instance": v.Opening.Instance, "incarnation": v.Opening.Incarnation, "entries": v.Entries,
 			"lines": rows, "unconfirmed": len(v.Unconfirmed)})
 	case "csv":
 		out := csv.NewWriter(w)
@@ -189,7 +189,7 @@
 	default:
 		return fmt.Errorf("--format: expected table, json or csv, got %q", format)
 	}
-	fmt.Fprintf(w, "%s, life %d, %d entries, %d unconfirmed\n", v.Life.Instance, v.Life.Incarnation, v.Entries, len(v.Unconfirmed))
+	fmt.Fprintf(w, "%s, life %d, %d entries, %d unconfirmed\n", v.Opening.Instance, v.Opening.Incarnation, v.Entries, len(v.Unconfirmed))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "period\tclosed\ttenant\tclass\toutcome\trequests\tcorrected\tattempts\twork s\tworth")
 	for _, r := range rows {
--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -88,7 +88,7 @@
 	var rules *accord.Follower
 	if f.Accord.Enabled() {
 		rules = accord.NewFollower(followerOptions(f.Accord, c), gw, gw.UseRules(c.Settings.WarmUpTime), count, log)
-		rules.Printer = printer{gw, c.Limits.MaxWait}
+		rules.Sender = printer{gw, c.Limits.MaxWait}
 		pool.Gate = rules.Gate
 		work.Go(func() { rules.Run(ctx) })
 	}
@@ -159,7 +159,7 @@
 }
 
 // Print sends a piece of work under its key, with the fence of this claim, and tells whether the receiver has it.
-func (p printer) Print(ctx context.Context, t statemachine.Task) bool {
+func (p printer) Send(ctx context.Context, t statemachine.Task) bool {
 	until := time.Now().Add(min(p.longest, max(time.Second, 4*time.Duration(t.Work.ExpectedDurationMs*float64(time.Millisecond)))))
 	if latest := time.UnixMilli(t.Work.Latest); latest.Before(until) {
 		until = latest
@@ -193,7 +193,7 @@
 // followerOptions are the accord's, for this router.
 func followerOptions(a features.Accord, c config.Config) accord.Options {
 	return accord.Options{Cluster: a.Cluster, Name: c.Name, Site: c.Settings.Zone, Registrars: a.Registrars, Mode: lease.Mode(a.WithoutLease),
-		Terms: a.LeaseTerms(), Step: a.ClockStep, Clock: accord.Clock{Rate: a.ClockRate}, Seed: c.Seed, Reporting: a.Auto.MinAgreeing > 0}
+		Terms: a.LeaseTerms(), ClockStep: a.ClockStep, Clock: accord.Clock{Rate: a.ClockRate}, Seed: c.Seed, SendServerEvidence: a.Auto.MinAgreeing > 0}
 }
 
 // move goes over to the addresses that the configuration file names now. A file that can't be used changes nothing.
--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -28,19 +28,19 @@
 	mu     sync.Mutex
 	holder lease.Holder
 	view   *ruleset.View // nil: none has been taken in
-	passes map[*Pass]struct{}
+	passes map[*Permit]struct{}
 	empty  chan struct{} // closed when the last pass that was broken off has ended; nil: nobody waits
 }
 
 // NewGate makes a closed gate.
 func NewGate(mode lease.Mode, clock Clock, count *metrics.Registry) *Gate {
-	g := &Gate{clock: clock, count: count, holder: lease.Holder{Mode: mode}, passes: map[*Pass]struct{}{}}
+	g := &Gate{clock: clock, count: count, holder: lease.Holder{Mode: mode}, passes: map[*Permit]struct{}{}}
 	g.shut.Store(true)
 	return g
 }
 
 // Pass lets one attempt's bytes go out, piece by piece.
-type Pass struct {
+type Permit struct {
 	gate    *Gate
 	host    string
 	born    int64
@@ -52,13 +52,13 @@
 // Begin lets an attempt to one life of a server start, or tells why it may not; planned is the name of the planned work
 // that it is for, empty for a client's request. abort breaks off its writing; it is called when a version comes that
 // forbids what is still being written. End has to follow.
-func (g *Gate) Begin(host string, born int64, planned string, abort func()) (*Pass, error) {
+func (g *Gate) Begin(host string, born int64, planned string, abort func()) (*Permit, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err := g.allows(host, born, planned); err != nil {
 		return nil, err
 	}
-	p := &Pass{gate: g, host: host, born: born, planned: planned, abort: abort}
+	p := &Permit{gate: g, host: host, born: born, planned: planned, abort: abort}
 	g.passes[p] = struct{}{}
 	return p, nil
 }
@@ -83,14 +83,14 @@
 
 // Still tells whether the rest of an attempt may go out. Danger: a host begins on a request with its last byte; one that
 // was half sent when the process stood still must not be completed by it when it wakes.
-func (p *Pass) Still() error {
+func (p *Permit) Recheck() error {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	return p.gate.allows(p.host, p.born, p.planned)
 }
 
 // End tells that nothing more of the attempt will be written.
-func (p *Pass) End() {
+func (p *Permit) End() {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,7 +115,7 @@
 // Take puts a newer version in force. It returns once nothing that it forbids goes out any more; only then has the version
 // been taken in. What an older version let begin, and this one allows as well, goes on. Danger: waited for, one server
 // that does not read would keep this dispatcher from every later version, and in the end from its lease.
-func (g *Gate) Take(ctx context.Context, v *ruleset.View) error {
+func (g *Gate) Apply(ctx context.Context, v *ruleset.View) error {
 	g.mu.Lock()
 	if g.view != nil && v.Version() <= g.view.Version() {
 		g.mu.Unlock()
@@ -153,7 +153,7 @@
 }
 
 // Lost closes the gate until another lease is granted: the record knows this life no more.
-func (g *Gate) Lost() {
+func (g *Gate) Revoke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.holder.Revoke()
@@ -171,21 +171,21 @@
 }
 
 // Holds is the newest version that was taken in.
-func (g *Gate) Holds() uint64 {
+func (g *Gate) HeldVersion() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.holder.Version()
 }
 
 // Conduct is what may be done now.
-func (g *Gate) Conduct() lease.Permission {
+func (g *Gate) Permission() lease.Permission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.look()
 }
 
 // Left is how long the lease stands yet; negative if it does not.
-func (g *Gate) Left() time.Duration {
+func (g *Gate) LeaseRemaining() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	left, ok := g.holder.Remaining(g.clock.Now())
--- a/internal/accord/wire.go
+++ b/internal/accord/wire.go
@@ -29,7 +29,7 @@
 	PathEnrol   = "/v1/enrol"
 	PathBeat    = "/v1/beat"
 	PathWatch   = "/v1/watch"
-	PathAsk     = "/v1/ask"
+	PathChange  = "/v1/ask"
 	PathRetire  = "/v1/retire"
 	PathStatus  = "/v1/status"
 	PathVersion = "/v1/version"
@@ -37,66 +37,66 @@
 )
 
 // MaxBody bounds a body, either way: a document of the largest size, a list of servers, and room round them.
-const MaxBody = 1 << 20
+const MaxBodySize = 1 << 20
 
 // Enrol asks for a life. Danger: a dispatcher that counts leases by other terms than its registrars would break what
 // they conclude; terms that differ are refused.
-type Enrol struct {
-	Cluster string      `json:"cluster"`
-	Name    string      `json:"name"`
-	Token   string      `json:"token"`
-	Mode    lease.Mode  `json:"mode"`
-	Knows   []string    `json:"knows"`
-	Site    string      `json:"site,omitempty"`
-	Terms   lease.Terms `json:"terms"`
+type EnrolRequest struct {
+	Cluster    string      `json:"cluster"`
+	Name       string      `json:"name"`
+	Token      string      `json:"token"`
+	Mode       lease.Mode  `json:"mode"`
+	KnownKinds []string    `json:"knows"`
+	Site       string      `json:"site,omitempty"`
+	Terms      lease.Terms `json:"terms"`
 }
 
 // Enrolled gives it.
-type Enrolled struct {
-	Life uint64 `json:"life"`
+type EnrolResponse struct {
+	Incarnation uint64 `json:"life"`
 }
 
 // Beat asks for a lease, and tells what the asker has taken in.
 type Beat struct {
-	Cluster string            `json:"cluster"`
-	Name    string            `json:"name"`
-	Life    uint64            `json:"life"`
-	Holds   uint64            `json:"holds"`             // nothing starts under an older version any more
-	Unknown []string          `json:"unknown,omitempty"` // kinds of rules in the newest version that the asker does not understand
-	List    string            `json:"list,omitempty"`    // a sum over Listed
-	Listed  []cordon.Server   `json:"listed,omitempty"`  // where the registrar has asked for it
-	Reports []cordon.Evidence `json:"reports,omitempty"`
+	Cluster        string            `json:"cluster"`
+	Name           string            `json:"name"`
+	Incarnation    uint64            `json:"life"`
+	HeldVersion    uint64            `json:"holds"`             // nothing starts under an older version any more
+	UnknownKinds   []string          `json:"unknown,omitempty"` // kinds of rules in the newest version that the asker does not understand
+	ServersDigest  string            `json:"list,omitempty"`    // a sum over Listed
+	Servers        []cordon.Server   `json:"listed,omitempty"`  // where the registrar has asked for it
+	ServerEvidence []cordon.Evidence `json:"reports,omitempty"`
 
-	Unix  int64                  `json:"unix_ms"`         // the asker's wall clock
-	Met   []contact.Evidence     `json:"met,omitempty"`   // at sites, since the last beat
-	Ended []statemachine.Outcome `json:"ended,omitempty"` // tries of planned work, until they are listed as its tasks no more
+	UnixMs       int64                  `json:"unix_ms"`         // the asker's wall clock
+	SiteEvidence []contact.Evidence     `json:"met,omitempty"`   // at sites, since the last beat
+	Outcomes     []statemachine.Outcome `json:"ended,omitempty"` // tries of planned work, until they are listed as its tasks no more
 }
 
 // Granted is a lease on a version, from when the Beat was sent.
-type Granted struct {
-	Cluster  string              `json:"cluster"`
-	Leader   string              `json:"leader"`
-	Version  uint64              `json:"version"`
-	LeaseNs  int64               `json:"lease_ns"`
-	Document *ruleset.Document   `json:"document,omitempty"` // where the asker held another version
-	WantList bool                `json:"want_list,omitempty"`
-	Tasks    []statemachine.Task `json:"tasks,omitempty"` // planned work that the asker has claimed
+type BeatResponse struct {
+	Cluster     string              `json:"cluster"`
+	Leader      string              `json:"leader"`
+	Version     uint64              `json:"version"`
+	LeaseNs     int64               `json:"lease_ns"`
+	Document    *ruleset.Document   `json:"document,omitempty"` // where the asker held another version
+	WantServers bool                `json:"want_list,omitempty"`
+	Tasks       []statemachine.Task `json:"tasks,omitempty"` // planned work that the asker has claimed
 }
 
 // News is what a watch brings: a newer version, or that there is none yet.
-type News struct {
+type WatchResponse struct {
 	Cluster  string            `json:"cluster"`
 	Document *ruleset.Document `json:"document,omitempty"`
 }
 
 // Ask is an operator's.
-type Ask struct {
+type OperatorRequest struct {
 	Cluster string `json:"cluster"`
 	ruleset.ChangeRequest
 }
 
 // Retire is an operator's word that a dispatcher has ended.
-type Retire struct {
+type RetireRequest struct {
 	Cluster string `json:"cluster"`
 	Name    string `json:"name"`
 	Author  string `json:"author"`
@@ -105,45 +105,45 @@
 }
 
 // Role is what a registrar tells of itself.
-type Role struct {
-	Name    string `json:"name"`
-	Leader  string `json:"leader"` // empty: none that it knows of
-	Leads   bool   `json:"leads"`
-	Term    uint64 `json:"term"`
-	Applied uint64 `json:"applied"`
-	Version uint64 `json:"version"`
+type RegistrarStatus struct {
+	Name         string `json:"name"`
+	Leader       string `json:"leader"` // empty: none that it knows of
+	IsLeader     bool   `json:"leads"`
+	Term         uint64 `json:"term"`
+	AppliedIndex uint64 `json:"applied"`
+	Version      uint64 `json:"version"`
 }
 
 // Status is what a leader tells of the record.
 type Status struct {
-	Cluster     string                                `json:"cluster"`
-	Role        Role                                  `json:"role"`
-	Head        ruleset.Head                          `json:"head"`
-	Bound       string                                `json:"bound"`            // D
-	Bounds      map[string]string                     `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
-	Rules       ruleset.Rules                         `json:"rules"`
-	Waiting     []ruleset.PendingChange               `json:"waiting,omitempty"`
-	Cordons     []statemachine.CordonStatus           `json:"cordons,omitempty"`
-	Work        map[string]statemachine.DispatchState `json:"work,omitempty"`
-	Sites       map[string]statemachine.SiteStatus    `json:"sites,omitempty"`
-	Dispatchers []Dispatcher                          `json:"dispatchers,omitempty"`
-	Expected    []string                              `json:"expected_missing,omitempty"` // named by the rules, and not in the record
-	Registrars  map[string]statemachine.Registrar     `json:"registrars"`
+	Cluster              string                                `json:"cluster"`
+	Role                 RegistrarStatus                       `json:"role"`
+	Head                 ruleset.Head                          `json:"head"`
+	StalenessBound       string                                `json:"bound"`            // D
+	StalenessBoundBySite map[string]string                     `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
+	Rules                ruleset.Rules                         `json:"rules"`
+	PendingChanges       []ruleset.PendingChange               `json:"waiting,omitempty"`
+	Cordons              []statemachine.CordonStatus           `json:"cordons,omitempty"`
+	Dispatches           map[string]statemachine.DispatchState `json:"work,omitempty"`
+	Sites                map[string]statemachine.SiteStatus    `json:"sites,omitempty"`
+	Dispatchers          []DispatcherStatus                    `json:"dispatchers,omitempty"`
+	MissingDispatchers   []string                              `json:"expected_missing,omitempty"` // named by the rules, and not in the record
+	Registrars           map[string]statemachine.Registrar     `json:"registrars"`
 }
 
 // Dispatcher is what a leader tells of one.
-type Dispatcher struct {
-	Name    string     `json:"name"`
-	Life    uint64     `json:"life"`
-	Mode    lease.Mode `json:"mode"`
-	Heard   bool       `json:"heard"` // by this leader
-	Ago     string     `json:"ago,omitempty"`
-	Holds   uint64     `json:"holds"`
-	Unknown []string   `json:"unknown,omitempty"`
+type DispatcherStatus struct {
+	Name          string     `json:"name"`
+	Incarnation   uint64     `json:"life"`
+	Mode          lease.Mode `json:"mode"`
+	SeenByLeader  bool       `json:"heard"` // by this leader
+	SinceLastBeat string     `json:"ago,omitempty"`
+	HeldVersion   uint64     `json:"holds"`
+	UnknownKinds  []string   `json:"unknown,omitempty"`
 }
 
 // Versions is a stretch of the history.
-type Versions struct {
+type VersionHistory struct {
 	Steps []ruleset.Step `json:"steps"`
 }
 
@@ -159,20 +159,20 @@
 
 // Codes of problems.
 const (
-	CodeCluster   = "cluster"    // another cluster's
-	CodeNotLeader = "not_leader" // ask the leader
-	CodeLife      = "life"       // this life was replaced: enrol anew
-	CodeTerms     = "terms"      // the two are set differently
-	CodeBusy      = "busy"       // not now: no leader, or its standing can't be proved
-	CodeWrong     = "wrong"      // it can't be
-	CodeGone      = "gone"       // there is none of this name or version
+	CodeWrongCluster     = "cluster"    // another cluster's
+	CodeNotLeader        = "not_leader" // ask the leader
+	CodeStaleIncarnation = "life"       // this life was replaced: enrol anew
+	CodeTermsMismatch    = "terms"      // the two are set differently
+	CodeBusy             = "busy"       // not now: no leader, or its standing can't be proved
+	CodeInvalid          = "wrong"      // it can't be
+	CodeNotFound         = "gone"       // there is none of this name or version
 )
 
 // NewProblem makes one, with the HTTP status that goes with its code.
 func NewProblem(code, text string) *Problem {
-	status := map[string]int{CodeCluster: http.StatusForbidden, CodeNotLeader: http.StatusMisdirectedRequest,
-		CodeLife: http.StatusConflict, CodeTerms: http.StatusPreconditionFailed, CodeBusy: http.StatusServiceUnavailable,
-		CodeGone: http.StatusNotFound}[code]
+	status := map[string]int{CodeWrongCluster: http.StatusForbidden, CodeNotLeader: http.StatusMisdirectedRequest,
+		CodeStaleIncarnation: http.StatusConflict, CodeTermsMismatch: http.StatusPreconditionFailed, CodeBusy: http.StatusServiceUnavailable,
+		CodeNotFound: http.StatusNotFound}[code]
 	if status == 0 {
 		status = http.StatusBadRequest
 	}
@@ -187,7 +187,7 @@
 }
 
 // ErrSpoilt tells that a body is not what its sender wrote.
-var ErrSpoilt = errors.New("body does not match its digest")
+var ErrDigestMismatch = errors.New("body does not match its digest")
 
 // read takes a body whole, at most so many bytes, and checks it.
 func read(h http.Header, body io.Reader, most int64, into any) error {
@@ -198,7 +198,7 @@
 	case int64(len(text)) > most:
 		return fmt.Errorf("body is longer than %d bytes", most)
 	case subtle.ConstantTimeCompare([]byte(h.Get(headerDigest)), []byte(digest(text))) != 1:
-		return ErrSpoilt
+		return ErrDigestMismatch
 	}
 	if into == nil {
 		return nil
@@ -210,10 +210,12 @@
 }
 
 // Read takes a request's body.
-func Read(r *http.Request, most int64, into any) error { return read(r.Header, r.Body, most, into) }
+func ReadRequest(r *http.Request, most int64, into any) error {
+	return read(r.Header, r.Body, most, into)
+}
 
 // Write answers with a value, or with a *Problem.
-func Write(w http.ResponseWriter, v any) {
+func WriteResponse(w http.ResponseWriter, v any) {
 	status := http.StatusOK
 	if p, ok := v.(*Problem); ok {
 		status = p.status
@@ -251,12 +253,12 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		p := &Problem{status: resp.StatusCode}
-		if err := read(resp.Header, resp.Body, MaxBody, p); err != nil || p.Code == "" {
+		if err := read(resp.Header, resp.Body, MaxBodySize, p); err != nil || p.Code == "" {
 			return fmt.Errorf("registrar %s: status %d", addr, resp.StatusCode)
 		}
 		return p
 	}
-	if err := read(resp.Header, resp.Body, MaxBody, out); err != nil {
+	if err := read(resp.Header, resp.Body, MaxBodySize, out); err != nil {
 		return fmt.Errorf("registrar %s: %w", addr, err)
 	}
 	return nil
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -89,11 +89,11 @@
 }
 
 // take hands a list on, unless a later address has given its own.
-func (f *feed) take(l List, at *reconnect.Place) {
+func (f *feed) take(l List, at *reconnect.Endpoint) {
 	f.version, f.held = l.Version, true
 	f.w.mu.Lock()
 	defer f.w.mu.Unlock()
-	if at.Spoke() {
+	if at.RecordMessage() {
 		f.w.take(l)
 	}
 }
@@ -101,7 +101,7 @@
 var errUnreadable = errors.New("unreadable line")
 
 // watch holds one watch until it breaks.
-func (f *feed) watch(ctx context.Context, at *reconnect.Place) error {
+func (f *feed) watch(ctx context.Context, at *reconnect.Endpoint) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(at.Replaced(), stop)()
@@ -119,7 +119,7 @@
 
 // get reads lists from one answer, a line each, until it ends. Danger: a connection to a machine that has
 // been cut off stays open and silent; with no heartbeat it counts as broken.
-func (f *feed) get(ctx context.Context, at *reconnect.Place, query string) error {
+func (f *feed) get(ctx context.Context, at *reconnect.Endpoint, query string) error {
 	w := f.w
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/ledger/counter.go
+++ b/internal/ledger/counter.go
@@ -58,4 +58,4 @@
 }
 
 // Refusing tells that the disk fails and that nothing is to go out uncounted. The ledger tries the disk by itself.
-func (c *Counter) Refusing() bool { return c.strict && c.ledger.Ill() != nil }
+func (c *Counter) Refusing() bool { return c.strict && c.ledger.WriteError() != nil }
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -21,13 +21,13 @@
 
 // Record is one group of what happened, as it stands on the disk.
 type Record struct {
-	Sequence  uint64      `cbor:"1,keyasint"`
-	Before    [32]byte    `cbor:"2,keyasint"` // hash of the record before
-	At        int64       `cbor:"3,keyasint"` // Unix time, nanoseconds
-	Uses      []Use       `cbor:"4,keyasint,omitempty"`
-	Confirmed []uint64    `cbor:"5,keyasint,omitempty"` // serials of uses
-	Note      *usage.Note `cbor:"6,keyasint,omitempty"`
-	Opened    *Opening    `cbor:"7,keyasint,omitempty"`
+	Sequence     uint64      `cbor:"1,keyasint"`
+	PreviousHash [32]byte    `cbor:"2,keyasint"` // hash of the record before
+	UnixNs       int64       `cbor:"3,keyasint"` // Unix time, nanoseconds
+	Uses         []Use       `cbor:"4,keyasint,omitempty"`
+	Confirmed    []uint64    `cbor:"5,keyasint,omitempty"` // serials of uses
+	Note         *usage.Note `cbor:"6,keyasint,omitempty"`
+	Opened       *Opening    `cbor:"7,keyasint,omitempty"`
 }
 
 // Opening begins a life of an instance.
@@ -39,7 +39,7 @@
 // Use is one answer that may go out now.
 type Use struct {
 	Serial uint64    `cbor:"1,keyasint"`
-	At     int64     `cbor:"2,keyasint"` // Unix time, nanoseconds
+	UnixNs int64     `cbor:"2,keyasint"` // Unix time, nanoseconds
 	Use    usage.Use `cbor:"3,keyasint"`
 }
 
@@ -61,7 +61,7 @@
 	switch {
 	case r.Sequence != sequence:
 		return r, fmt.Errorf("entry %d: %w: it says that it is %d", sequence, errBroken, r.Sequence)
-	case r.Before != before:
+	case r.PreviousHash != before:
 		return r, fmt.Errorf("entry %d: %w: the one before it is not the one that it followed", sequence, errBroken)
 	}
 	return r, nil
@@ -79,7 +79,7 @@
 // apply adds a record. Danger: nothing here may depend on anything but the record and what came before it.
 func (s *state) apply(r Record, data []byte) error {
 	s.sequence, s.last = r.Sequence, hash(data)
-	s.book.Close(time.Unix(0, r.At))
+	s.book.Close(time.Unix(0, r.UnixNs))
 	if r.Opened != nil {
 		s.life = *r.Opened
 	}
@@ -92,10 +92,10 @@
 			return fmt.Errorf("entry %d: %w: it confirms %d, which is not open", r.Sequence, errBroken, serial)
 		}
 		delete(s.open, serial)
-		s.book.Add(time.Unix(0, u.At), u.Use)
+		s.book.Add(time.Unix(0, u.UnixNs), u.Use)
 	}
 	if r.Note != nil {
-		if _, err := s.book.Correct(time.Unix(0, r.At), *r.Note); err != nil {
+		if _, err := s.book.Correct(time.Unix(0, r.UnixNs), *r.Note); err != nil {
 			return fmt.Errorf("entry %d: %w", r.Sequence, err)
 		}
 	}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -34,7 +34,7 @@
 
 // line is one connection to the platform.
 type line struct {
-	at    *reconnect.Place
+	at    *reconnect.Endpoint
 	conn  net.Conn
 	calls []*call // written, not answered
 	over  bool    // nothing more is written: it ends once what waits is answered
@@ -89,7 +89,7 @@
 }
 
 // session holds one connection until it breaks, or until a later address has spoken and all calls are answered.
-func (c *Client) session(ctx context.Context, at *reconnect.Place) error {
+func (c *Client) session(ctx context.Context, at *reconnect.Endpoint) error {
 	dialer := net.Dialer{Timeout: c.limits.ControlDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", at.Addr)
 	if err != nil {
@@ -99,7 +99,7 @@
 	l := &line{at: at, conn: conn}
 	c.mu.Lock()
 	if err = c.call(l, callWatch+"\r\n", false); err == nil {
-		if n := len(c.lines); at.Newest() {
+		if n := len(c.lines); at.IsNewest() {
 			c.lines = append(c.lines, l)
 		} else { // made while a later address came: votes go there
 			c.lines = slices.Insert(c.lines, max(0, n-1), l)
@@ -178,7 +178,7 @@
 func (c *Client) tell(l *line, e logic.ReleaseStatus) {
 	c.telling.Lock()
 	defer c.telling.Unlock()
-	counts, state := l.at.Spoke(), !e.IsReply || e.Reply == logic.VoteCounted
+	counts, state := l.at.RecordMessage(), !e.IsReply || e.Reply == logic.VoteCounted
 	if state && !counts {
 		if !e.IsReply {
 			return
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -16,7 +16,7 @@
 )
 
 // Session holds one connection to a peer until it breaks or ctx ends.
-type Session func(ctx context.Context, at *Place) error
+type Session func(ctx context.Context, at *Endpoint) error
 
 // Follower follows one peer.
 type Follower struct {
@@ -30,7 +30,7 @@
 	moves  chan string
 
 	mu     sync.Mutex
-	places []*Place // the newest last; those before it until they have ended
+	places []*Endpoint // the newest last; those before it until they have ended
 }
 
 // New makes a follower; Run starts it.
@@ -41,7 +41,7 @@
 }
 
 // Place is one address of a peer, and what became of it.
-type Place struct {
+type Endpoint struct {
 	Addr string
 
 	of       *Follower
@@ -54,10 +54,10 @@
 
 // Replaced ends once a later place has brought news: what this one still says is out of date, and what waits
 // on its connection has until its session's context ends.
-func (p *Place) Replaced() context.Context { return p.replaced }
+func (p *Endpoint) Replaced() context.Context { return p.replaced }
 
 // Newest tells that no later address has come.
-func (p *Place) Newest() bool {
+func (p *Endpoint) IsNewest() bool {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	return p.of.places[len(p.of.places)-1] == p
@@ -65,7 +65,7 @@
 
 // Spoke notes that the place has brought something that can be read, and tells whether that counts. Danger: the
 // last words of an earlier address, read late, would undo what the present one has told.
-func (p *Place) Spoke() bool {
+func (p *Endpoint) RecordMessage() bool {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	newest := p.of.places[len(p.of.places)-1] == p
@@ -118,8 +118,8 @@
 
 // begin adds a place. Those before it have a while to finish what waits on them. Danger: the old address is
 // soon closed, but until the new one has spoken its news are the only ones.
-func (f *Follower) begin(ctx context.Context, addr string) (*Place, context.Context) {
-	p := &Place{Addr: addr, of: f}
+func (f *Follower) begin(ctx context.Context, addr string) (*Endpoint, context.Context) {
+	p := &Endpoint{Addr: addr, of: f}
 	here, stop := context.WithCancel(ctx)
 	p.stop = stop
 	p.replaced, p.replace = context.WithCancel(ctx)
@@ -134,7 +134,7 @@
 }
 
 // end forgets a place.
-func (f *Follower) end(p *Place) {
+func (f *Follower) end(p *Endpoint) {
 	p.stop()
 	p.replace()
 	f.mu.Lock()
@@ -145,11 +145,11 @@
 }
 
 // hold connects to a place again and again, until ctx ends or a later place has come.
-func (f *Follower) hold(ctx context.Context, p *Place, session Session) {
+func (f *Follower) hold(ctx context.Context, p *Endpoint, session Session) {
 	wait(ctx, p.begin())
-	for ctx.Err() == nil && p.Newest() {
+	for ctx.Err() == nil && p.IsNewest() {
 		err := session(ctx, p)
-		if ctx.Err() != nil || !p.Newest() {
+		if ctx.Err() != nil || !p.IsNewest() {
 			return
 		}
 		f.count.Inc(f.name + ".broken")
@@ -163,13 +163,13 @@
 }
 
 // begin and failed ask the place's pace, which Spoke is told to as well, maybe from another goroutine.
-func (p *Place) begin() time.Duration {
+func (p *Endpoint) begin() time.Duration {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	return p.pace.InitialDelay()
 }
 
-func (p *Place) failed() (pause time.Duration, first bool) {
+func (p *Endpoint) failed() (pause time.Duration, first bool) {
 	p.of.mu.Lock()
 	defer p.of.mu.Unlock()
 	return p.pace.RecordFailure()
--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -46,12 +46,12 @@
 		})
 	}
 	post(pathRaft, maxRaftBody, f.raft)
-	post(pathHello, accord.MaxBody, f.hello)
-	post(accord.PathEnrol, accord.MaxBody, f.enrol)
-	post(accord.PathBeat, accord.MaxBody, f.beat)
-	post(accord.PathAsk, accord.MaxBody, f.change)
-	post(accord.PathRetire, accord.MaxBody, f.retire)
-	post(accord.PathMembers, accord.MaxBody, f.members)
+	post(pathHello, accord.MaxBodySize, f.hello)
+	post(accord.PathEnrol, accord.MaxBodySize, f.enrol)
+	post(accord.PathBeat, accord.MaxBodySize, f.beat)
+	post(accord.PathChange, accord.MaxBodySize, f.change)
+	post(accord.PathRetire, accord.MaxBodySize, f.retire)
+	post(accord.PathMembers, accord.MaxBodySize, f.members)
 	mux.HandleFunc("GET "+accord.PathWatch, func(w http.ResponseWriter, r *http.Request) { f.answer(w, f.watch(r)) })
 	mux.HandleFunc("GET "+accord.PathStatus, func(w http.ResponseWriter, r *http.Request) { f.answer(w, f.status(r)) })
 	mux.HandleFunc("GET "+accord.PathVersion, func(w http.ResponseWriter, r *http.Request) { f.answer(w, f.version(r)) })
@@ -64,19 +64,19 @@
 	if p, ok := v.(*accord.Problem); ok {
 		f.set.GetOrCreateCounter(`registrar_refused_total{code="` + p.Code + `"}`).Inc()
 	}
-	accord.Write(w, v)
+	accord.WriteResponse(w, v)
 }
 
 // take reads a body and holds its cluster against this one's.
 func (f *front) take(r *http.Request, most int64, into any, cluster *string) *accord.Problem {
-	switch err := accord.Read(r, most, into); {
-	case errors.Is(err, accord.ErrSpoilt):
+	switch err := accord.ReadRequest(r, most, into); {
+	case errors.Is(err, accord.ErrDigestMismatch):
 		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="spoilt"}`).Inc()
-		return accord.NewProblem(accord.CodeWrong, err.Error())
+		return accord.NewProblem(accord.CodeInvalid, err.Error())
 	case err != nil:
-		return accord.NewProblem(accord.CodeWrong, err.Error())
+		return accord.NewProblem(accord.CodeInvalid, err.Error())
 	case *cluster != f.opts.Cluster:
-		return accord.NewProblem(accord.CodeCluster, "this is a registrar of cluster "+f.opts.Cluster)
+		return accord.NewProblem(accord.CodeWrongCluster, "this is a registrar of cluster "+f.opts.Cluster)
 	}
 	return nil
 }
@@ -120,20 +120,20 @@
 	gone := n.shown.Load().gone
 	switch {
 	case slices.Contains(gone, p.FromID):
-		return accord.NewProblem(accord.CodeGone, "this registrar was replaced")
+		return accord.NewProblem(accord.CodeNotFound, "this registrar was replaced")
 	case p.ToID != f.id.ID:
 		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="not_for_this_disk"}`).Inc()
-		return accord.NewProblem(accord.CodeWrong, "for another disk than this one")
+		return accord.NewProblem(accord.CodeInvalid, "for another disk than this one")
 	case !f.known(n, p.From):
 		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
-		return accord.NewProblem(accord.CodeWrong, "no registrar of this name is known")
+		return accord.NewProblem(accord.CodeInvalid, "no registrar of this name is known")
 	}
 	in := received{from: p.From, id: p.FromID, boots: p.Boots}
 	for _, text := range p.Messages {
 		m := &pb.Message{}
 		if err := proto.Unmarshal(text, m); err != nil || m.GetFrom() != p.FromID || m.GetTo() != f.id.ID {
 			f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="unreadable"}`).Inc()
-			return accord.NewProblem(accord.CodeWrong, "a message that can't be")
+			return accord.NewProblem(accord.CodeInvalid, "a message that can't be")
 		}
 		in.messages = append(in.messages, m)
 	}
@@ -151,12 +151,12 @@
 // it is answered.
 func (f *front) hello(r *http.Request) any {
 	var h Hello
-	if wrong := f.take(r, accord.MaxBody, &h, &h.Cluster); wrong != nil {
+	if wrong := f.take(r, accord.MaxBodySize, &h, &h.Cluster); wrong != nil {
 		return wrong
 	}
 	if _, ok := f.opts.Registrars[h.Name]; !ok {
 		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
-		return accord.NewProblem(accord.CodeWrong, "no registrar of this name is known")
+		return accord.NewProblem(accord.CodeInvalid, "no registrar of this name is known")
 	}
 	var m Mark
 	if f.running.Load() != nil {
@@ -202,21 +202,21 @@
 }
 
 func (f *front) enrol(r *http.Request) any {
-	var e accord.Enrol
-	if wrong := f.take(r, accord.MaxBody, &e, &e.Cluster); wrong != nil {
+	var e accord.EnrolRequest
+	if wrong := f.take(r, accord.MaxBodySize, &e, &e.Cluster); wrong != nil {
 		return wrong
 	}
 	if e.Terms != f.opts.Terms {
-		return accord.NewProblem(accord.CodeTerms, "lease, beat, send or drift are set otherwise at this registrar")
+		return accord.NewProblem(accord.CodeTermsMismatch, "lease, beat, send or drift are set otherwise at this registrar")
 	}
 	v := f.wait(r, func(reply func(any)) any {
-		return propose{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, KnownKinds: e.Knows, Site: e.Site}}, reply}
+		return propose{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, KnownKinds: e.KnownKinds, Site: e.Site}}, reply}
 	})
 	if res, ok := v.(statemachine.Result); ok {
 		if res.Refused != "" {
-			return accord.NewProblem(accord.CodeWrong, res.Refused)
+			return accord.NewProblem(accord.CodeInvalid, res.Refused)
 		}
-		return accord.Enrolled{Life: res.Incarnation}
+		return accord.EnrolResponse{Incarnation: res.Incarnation}
 	}
 	return v
 }
@@ -224,15 +224,15 @@
 func (f *front) beat(r *http.Request) any {
 	at := f.opts.Clock.Now()
 	var b accord.Beat
-	if wrong := f.take(r, accord.MaxBody, &b, &b.Cluster); wrong != nil {
+	if wrong := f.take(r, accord.MaxBodySize, &b, &b.Cluster); wrong != nil {
 		return wrong
 	}
 	return f.wait(r, func(reply func(any)) any { return &asked{at: at, beat: &b, reply: reply} })
 }
 
 func (f *front) change(r *http.Request) any {
-	var a accord.Ask
-	if wrong := f.take(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
+	var a accord.OperatorRequest
+	if wrong := f.take(r, accord.MaxBodySize, &a, &a.Cluster); wrong != nil {
 		return wrong
 	}
 	v := f.wait(r, func(reply func(any)) any { return propose{statemachine.Entry{Ask: &a.ChangeRequest}, reply} })
@@ -243,8 +243,8 @@
 }
 
 func (f *front) retire(r *http.Request) any {
-	var q accord.Retire
-	if wrong := f.take(r, accord.MaxBody, &q, &q.Cluster); wrong != nil {
+	var q accord.RetireRequest
+	if wrong := f.take(r, accord.MaxBodySize, &q, &q.Cluster); wrong != nil {
 		return wrong
 	}
 	v := f.wait(r, func(reply func(any)) any {
@@ -252,7 +252,7 @@
 	})
 	if res, ok := v.(statemachine.Result); ok {
 		if res.Refused != "" {
-			return accord.NewProblem(accord.CodeWrong, res.Refused)
+			return accord.NewProblem(accord.CodeInvalid, res.Refused)
 		}
 		return struct{}{}
 	}
@@ -261,7 +261,7 @@
 
 func (f *front) members(r *http.Request) any {
 	var m Members
-	if wrong := f.take(r, accord.MaxBody, &m, &m.Cluster); wrong != nil {
+	if wrong := f.take(r, accord.MaxBodySize, &m, &m.Cluster); wrong != nil {
 		return wrong
 	}
 	v := f.wait(r, func(reply func(any)) any { return change{m, reply} })
@@ -275,30 +275,30 @@
 func (f *front) watch(r *http.Request) any {
 	q := r.URL.Query()
 	if q.Get("cluster") != f.opts.Cluster {
-		return accord.NewProblem(accord.CodeCluster, "this is a registrar of cluster "+f.opts.Cluster)
+		return accord.NewProblem(accord.CodeWrongCluster, "this is a registrar of cluster "+f.opts.Cluster)
 	}
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 	if err != nil {
-		return accord.NewProblem(accord.CodeWrong, "after: expected a version")
+		return accord.NewProblem(accord.CodeInvalid, "after: expected a version")
 	}
 	n := f.running.Load()
 	if n == nil {
 		return notYet
 	}
 	f.set.GetOrCreateCounter("registrar_watches_total").Inc()
-	patience := time.NewTimer(accord.WatchFor)
+	patience := time.NewTimer(accord.WatchTimeout)
 	defer patience.Stop()
 	for {
 		s := n.shown.Load()
 		if s.document.Head.Version > after {
-			return accord.News{Cluster: f.opts.Cluster, Document: &s.document}
+			return accord.WatchResponse{Cluster: f.opts.Cluster, Document: &s.document}
 		}
 		select {
 		case <-s.next:
 		case <-patience.C:
-			return accord.News{Cluster: f.opts.Cluster}
+			return accord.WatchResponse{Cluster: f.opts.Cluster}
 		case <-r.Context().Done():
-			return accord.News{Cluster: f.opts.Cluster}
+			return accord.WatchResponse{Cluster: f.opts.Cluster}
 		case <-f.ended:
 			return accord.NewProblem(accord.CodeBusy, "the registrar ends")
 		}
@@ -310,7 +310,7 @@
 		if n := f.running.Load(); n != nil {
 			return n.shown.Load().state
 		}
-		return accord.Role{Name: f.id.Name}
+		return accord.RegistrarStatus{Name: f.id.Name}
 	}
 	return f.wait(r, func(reply func(any)) any { return &asked{at: f.opts.Clock.Now(), reply: reply} })
 }
@@ -322,13 +322,13 @@
 	}
 	w := n.watch()
 	d := n.state.Book.Document
-	s := accord.Status{Cluster: n.opts.Cluster, Role: n.shown.Load().state, Head: d.Head, Bound: n.opts.Terms.StalenessBound().String(), Rules: d.Rules,
-		Waiting: d.Pending, Work: n.state.Dispatches, Sites: n.state.SiteStatuses(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
+	s := accord.Status{Cluster: n.opts.Cluster, Role: n.shown.Load().state, Head: d.Head, StalenessBound: n.opts.Terms.StalenessBound().String(), Rules: d.Rules,
+		PendingChanges: d.Pending, Dispatches: n.state.Dispatches, Sites: n.state.SiteStatuses(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
 	for site, d := range n.state.StalenessBounds(n.opts.Terms, n.unix()) {
-		if s.Bounds == nil {
-			s.Bounds = map[string]string{}
+		if s.StalenessBoundBySite == nil {
+			s.StalenessBoundBySite = map[string]string{}
 		}
-		s.Bounds[site] = d.String()
+		s.StalenessBoundBySite[site] = d.String()
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.state.Members)) {
 		m := n.state.Members[name]
@@ -336,15 +336,15 @@
 			continue
 		}
 		at, holds, heard := n.roll.LastBeat(name, m.Incarnation)
-		x := accord.Dispatcher{Name: name, Life: m.Incarnation, Mode: m.Mode, Heard: heard, Holds: holds, Unknown: n.unknown[name]}
+		x := accord.DispatcherStatus{Name: name, Incarnation: m.Incarnation, Mode: m.Mode, SeenByLeader: heard, HeldVersion: holds, UnknownKinds: n.unknown[name]}
 		if heard {
-			x.Ago = (w.Now - at).Round(time.Millisecond).String()
+			x.SinceLastBeat = (w.Now - at).Round(time.Millisecond).String()
 		}
 		s.Dispatchers = append(s.Dispatchers, x)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Rules.Expected)) {
 		if m, ok := n.state.Members[name]; !ok || m.Incarnation == 0 {
-			s.Expected = append(s.Expected, name)
+			s.MissingDispatchers = append(s.MissingDispatchers, name)
 		}
 	}
 	return s
@@ -354,14 +354,14 @@
 func (f *front) version(r *http.Request) any {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		return accord.NewProblem(accord.CodeWrong, "from: expected a version")
+		return accord.NewProblem(accord.CodeInvalid, "from: expected a version")
 	}
 	steps, err := f.store.steps(from, stepsTogether)
 	if err != nil {
-		return accord.NewProblem(accord.CodeWrong, err.Error())
+		return accord.NewProblem(accord.CodeInvalid, err.Error())
 	}
 	if len(steps) > 0 && steps[0].Head.Version != from {
 		return accord.NewProblem(accord.CodeBusy, "this registrar does not have this version yet: ask another")
 	}
-	return accord.Versions{Steps: steps}
+	return accord.VersionHistory{Steps: steps}
 }
--- a/internal/registrar/history.go
+++ b/internal/registrar/history.go
@@ -91,7 +91,7 @@
 		}
 		before = steps[0].Head.Hash
 	}
-	var v accord.Versions
+	var v accord.VersionHistory
 	if err := out.ask(ctx, addr, fmt.Sprintf("%s?from=%d", accord.PathVersion, missing), &v, out.opts.Terms.Length); err != nil {
 		return err
 	}
--- a/internal/registrar/members.go
+++ b/internal/registrar/members.go
@@ -32,20 +32,20 @@
 	}
 	switch {
 	case m.Addr == "" && !there:
-		return nil, accord.NewProblem(accord.CodeGone, "no such registrar")
+		return nil, accord.NewProblem(accord.CodeNotFound, "no such registrar")
 	case m.Addr == "" && len(n.state.Registrars) == 1:
-		return nil, accord.NewProblem(accord.CodeWrong, "the last registrar can't go")
+		return nil, accord.NewProblem(accord.CodeInvalid, "the last registrar can't go")
 	case m.Addr == "":
 		m.ID = was.ID
 	case m.Name == "" || m.ID == 0 || there && m.ID == was.ID:
-		return nil, accord.NewProblem(accord.CodeWrong, "expected a name, an address and the identity of a new disk")
+		return nil, accord.NewProblem(accord.CodeInvalid, "expected a name, an address and the identity of a new disk")
 	default:
 		add(pb.ConfChangeAddNode, m.ID)
 	}
 	n.serial++
 	text, err := json.Marshal(memberChange{Ref: fmt.Sprintf("%x-%d-%d", n.id.ID, n.id.Boots, n.serial), Name: m.Name, Addr: m.Addr, ID: m.ID})
 	if err != nil {
-		return nil, accord.NewProblem(accord.CodeWrong, err.Error())
+		return nil, accord.NewProblem(accord.CodeInvalid, err.Error())
 	}
 	c.Context = text
 	return c, nil
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -95,7 +95,7 @@
 // shown is what other tasks may read: the newest version, and a channel that is closed when it is replaced.
 type shown struct {
 	document   ruleset.Document
-	state      accord.Role
+	state      accord.RegistrarStatus
 	registrars map[string]statemachine.Registrar
 	gone       []uint64
 	next       chan struct{}
@@ -272,7 +272,7 @@
 // greeted judges a registrar that starts.
 func (n *node) greeted(m greeted) {
 	if slices.Contains(n.state.FormerRegistrarIDs, m.hello.ID) {
-		m.reply(accord.NewProblem(accord.CodeGone, "this registrar was replaced"))
+		m.reply(accord.NewProblem(accord.CodeNotFound, "this registrar was replaced"))
 		return
 	}
 	mark, p := n.marks[m.hello.ID].greet(m.hello)
@@ -452,8 +452,8 @@
 // show lets other tasks see the newest version.
 func (n *node) show() {
 	s := &shown{document: n.state.Book.Document, registrars: n.state.Registrars, gone: n.state.FormerRegistrarIDs,
-		next: make(chan struct{}), state: accord.Role{Name: n.id.Name, Leader: n.leaderName(),
-			Leads: n.leading, Term: n.rn.BasicStatus().GetTerm(), Applied: n.applied, Version: n.state.Book.Document.Head.Version}}
+		next: make(chan struct{}), state: accord.RegistrarStatus{Name: n.id.Name, Leader: n.leaderName(),
+			IsLeader: n.leading, Term: n.rn.BasicStatus().GetTerm(), AppliedIndex: n.applied, Version: n.state.Book.Document.Head.Version}}
 	if was := n.shown.Swap(s); was != nil {
 		close(was.next)
 	}
@@ -501,28 +501,28 @@
 		return
 	}
 	if b := a.beat; b != nil {
-		if m, ok := n.state.Members[b.Name]; !ok || m.Incarnation != b.Life {
-			a.reply(accord.NewProblem(accord.CodeLife, "this life is not in the record"))
+		if m, ok := n.state.Members[b.Name]; !ok || m.Incarnation != b.Incarnation {
+			a.reply(accord.NewProblem(accord.CodeStaleIncarnation, "this life is not in the record"))
 			return
 		}
-		_, was, _ := n.roll.LastBeat(b.Name, b.Life)
+		_, was, _ := n.roll.LastBeat(b.Name, b.Incarnation)
 		a.length = n.state.LeaseLength(n.opts.Terms, n.state.Members[b.Name].Site, n.unix())
-		n.roll.RecordBeat(a.at, b.Name, b.Life, b.Holds, a.length)
-		n.dirty = n.dirty || b.Holds > was
-		if len(b.Listed) > 0 {
-			n.lists[b.Name] = list{b.List, b.Listed}
+		n.roll.RecordBeat(a.at, b.Name, b.Incarnation, b.HeldVersion, a.length)
+		n.dirty = n.dirty || b.HeldVersion > was
+		if len(b.Servers) > 0 {
+			n.lists[b.Name] = list{b.ServersDigest, b.Servers}
 		}
-		if b.Reports != nil {
-			n.reports[b.Name] = cordon.AccumulateEvidence(n.reports[b.Name], b.Reports)
+		if b.ServerEvidence != nil {
+			n.reports[b.Name] = cordon.AccumulateEvidence(n.reports[b.Name], b.ServerEvidence)
 		}
-		n.clocks[b.Name] = time.UnixMilli(b.Unix).Sub(n.opts.Unix())
-		if len(b.Met) > 0 {
-			n.met[b.Name] = evidence{a.at, b.Met}
+		n.clocks[b.Name] = time.UnixMilli(b.UnixMs).Sub(n.opts.Unix())
+		if len(b.SiteEvidence) > 0 {
+			n.met[b.Name] = evidence{a.at, b.SiteEvidence}
 		}
-		for _, e := range b.Ended {
+		for _, e := range b.Outcomes {
 			n.propose(statemachine.Entry{Outcome: &e}, func(any) {})
 		}
-		if n.unknown[b.Name] = b.Unknown; len(b.Unknown) == 0 {
+		if n.unknown[b.Name] = b.UnknownKinds; len(b.UnknownKinds) == 0 {
 			delete(n.unknown, b.Name)
 		}
 		n.set.GetOrCreateCounter("registrar_beats_total").Inc()
@@ -568,13 +568,13 @@
 
 // grant gives a lease on the newest version.
 func (n *node) grant(b *accord.Beat, length time.Duration) any {
-	if m := n.state.Members[b.Name]; m.Incarnation != b.Life {
-		return accord.NewProblem(accord.CodeLife, "another life took its place")
+	if m := n.state.Members[b.Name]; m.Incarnation != b.Incarnation {
+		return accord.NewProblem(accord.CodeStaleIncarnation, "another life took its place")
 	}
 	d := n.state.Book.Document
-	g := accord.Granted{Cluster: n.opts.Cluster, Leader: n.id.Name, Version: d.Head.Version, LeaseNs: int64(length),
-		WantList: b.List != "" && n.lists[b.Name].sum != b.List, Tasks: n.state.Tasks(b.Name, b.Life)}
-	if b.Holds != d.Head.Version {
+	g := accord.BeatResponse{Cluster: n.opts.Cluster, Leader: n.id.Name, Version: d.Head.Version, LeaseNs: int64(length),
+		WantServers: b.ServersDigest != "" && n.lists[b.Name].sum != b.ServersDigest, Tasks: n.state.Tasks(b.Name, b.Incarnation)}
+	if b.HeldVersion != d.Head.Version {
 		g.Document = &d
 	}
 	return g
@@ -613,7 +613,7 @@
 		text, err = json.Marshal(envelope{ref, inner})
 	}
 	if err != nil {
-		reply(accord.NewProblem(accord.CodeWrong, err.Error()))
+		reply(accord.NewProblem(accord.CodeInvalid, err.Error()))
 		return
 	}
 	if err := n.rn.Propose(text); err != nil {
@@ -630,7 +630,7 @@
 		for _, c := range a.Changes {
 			known := slices.Contains(ruleset.SupportedKinds, string(c.Kind)) // else it is refused for that
 			if m.Incarnation != 0 && known && !a.Forced && !slices.Contains(m.KnownKinds, string(c.Kind)) {
-				return accord.NewProblem(accord.CodeWrong, fmt.Sprintf("dispatcher %s does not understand rules of kind %.40q: it would lose its lease", name, string(c.Kind)))
+				return accord.NewProblem(accord.CodeInvalid, fmt.Sprintf("dispatcher %s does not understand rules of kind %.40q: it would lose its lease", name, string(c.Kind)))
 			}
 		}
 	}
--- a/internal/registrar/peers.go
+++ b/internal/registrar/peers.go
@@ -170,7 +170,7 @@
 			p.set.GetOrCreateCounter(`registrar_messages_lost_total{why="unreachable"}`).Inc()
 			p.node.put(sent{to: q.id})
 			var refused *accord.Problem
-			if errors.As(err, &refused) && refused.Code == accord.CodeGone {
+			if errors.As(err, &refused) && refused.Code == accord.CodeNotFound {
 				p.node.put(failure{ErrRemoved})
 			}
 			// Danger: whoever refuses connections answers at once; the loop must not spin on it.
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -246,7 +246,7 @@
 				delete(waiting, name)
 			case errors.As(err, &p) && p.Code == codeLost:
 				return fmt.Errorf("%w (%s: %s)", ErrLost, name, p.Text)
-			case errors.As(err, &p) && p.Code == accord.CodeGone:
+			case errors.As(err, &p) && p.Code == accord.CodeNotFound:
 				return ErrRemoved
 			}
 		}
--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -73,7 +73,7 @@
 // exchange writes a request and waits for its answer. The outcome turns on the last byte: a break before it
 // is written proves that the request never ran, after it the request may have.
 func (p *Pool) exchange(ctx context.Context, h *host, c *conn, text []byte, planned string) gateway.Result {
-	var pass *accord.Pass
+	var pass *accord.Permit
 	if p.Gate != nil {
 		var refused error
 		as := p.listed(h)
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -57,7 +57,7 @@
 
 // roundTrip writes a request and reads its answer, until ctx ends. written tells whether the request's last byte
 // was written. Nothing goes out without the pass, where there is one.
-func (c *conn) roundTrip(ctx context.Context, text []byte, pass *accord.Pass) (r response, written bool, err error) {
+func (c *conn) roundTrip(ctx context.Context, text []byte, pass *accord.Permit) (r response, written bool, err error) {
 	release := context.AfterFunc(ctx, c.giveUp)
 	if pass == nil {
 		n, e := c.raw.Write(text)
@@ -79,17 +79,17 @@
 
 // writeChecked writes a request in pieces, each only while the rules and the lease allow it. Danger: the process may
 // stand still anywhere in here, and a host begins on a request with its last byte.
-func (c *conn) writeChecked(text []byte, pass *accord.Pass) (written bool, err error) {
+func (c *conn) writeChecked(text []byte, pass *accord.Permit) (written bool, err error) {
 	defer pass.End()
 	for rest := text; len(rest) > 0; {
 		if len(rest) < len(text) { // the first look was the gate's own, just before
-			if err := pass.Still(); err != nil {
+			if err := pass.Recheck(); err != nil {
 				return false, err
 			}
 		}
 		m, err := c.raw.Write(rest[:min(piece, len(rest))])
 		if err != nil {
-			if forbidden := pass.Still(); forbidden != nil { // broken off for that: the host is not to blame
+			if forbidden := pass.Recheck(); forbidden != nil { // broken off for that: the host is not to blame
 				err = forbidden
 			}
 			return false, err
