--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -89,11 +89,11 @@
 }
 
 // deliver passes a list to the watcher, unless a later address has already delivered its own.
-func (a *addressWatch) deliver(l List, place *reconnect.Place) {
+func (a *addressWatch) deliver(l List, place *reconnect.Endpoint) {
 	a.version, a.hasList = l.Version, true
 	a.watcher.mu.Lock()
 	defer a.watcher.mu.Unlock()
-	if place.Spoke() {
+	if place.RecordMessage() {
 		a.watcher.deliver(l)
 	}
 }
@@ -102,7 +102,7 @@
 var errUnreadable = errors.New("unreadable line")
 
 // watch requests the full list if none has been read, then keeps one watch open until it breaks.
-func (a *addressWatch) watch(ctx context.Context, place *reconnect.Place) error {
+func (a *addressWatch) watch(ctx context.Context, place *reconnect.Endpoint) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(place.Replaced(), stop)()
@@ -120,7 +120,7 @@
 
 // readLists reads the lists of one response until it ends. A connection to a machine that has lost its network stays
 // open and silent, so a connection without heartbeats is treated as broken.
-func (a *addressWatch) readLists(ctx context.Context, place *reconnect.Place, query string) error {
+func (a *addressWatch) readLists(ctx context.Context, place *reconnect.Endpoint, query string) error {
 	w := a.watcher
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -34,7 +34,7 @@
 
 // watchConn is a connection to the platform with the calls that await an answer on it.
 type watchConn struct {
-	place   *reconnect.Place
+	place   *reconnect.Endpoint
 	conn    net.Conn
 	pending []*call // written and not yet answered, in order
 	closing bool    // no further calls are written; the connection is closed once pending is empty
@@ -92,7 +92,7 @@
 
 // runSession keeps one connection open until it breaks, or until a later address has delivered something and all calls on
 // this connection are answered.
-func (c *Client) runSession(ctx context.Context, place *reconnect.Place) error {
+func (c *Client) runSession(ctx context.Context, place *reconnect.Endpoint) error {
 	dialer := net.Dialer{Timeout: c.limits.ControlDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", place.Addr)
 	if err != nil {
@@ -102,7 +102,7 @@
 	wc := &watchConn{place: place, conn: conn}
 	c.mu.Lock()
 	if err = c.writeCall(wc, callWatch+"\r\n", false); err == nil {
-		if n := len(c.conns); place.Newest() {
+		if n := len(c.conns); place.IsNewest() {
 			c.conns = append(c.conns, wc)
 		} else { // the address changed during the dial: votes go to the newest address
 			c.conns = slices.Insert(c.conns, max(0, n-1), wc)
@@ -182,7 +182,7 @@
 func (c *Client) deliver(wc *watchConn, e logic.ReleaseStatus) {
 	c.deliveryMu.Lock()
 	defer c.deliveryMu.Unlock()
-	isCurrent, hasStatus := wc.place.Spoke(), !e.IsReply || e.Reply == logic.VoteCounted
+	isCurrent, hasStatus := wc.place.RecordMessage(), !e.IsReply || e.Reply == logic.VoteCounted
 	if hasStatus && !isCurrent {
 		if !e.IsReply {
 			return
--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -76,7 +76,7 @@
 // last byte: if the connection breaks before that is written, the request cannot have run; after it, it may have run.
 // dispatchID names the planned work that the request is for; it is empty for a client's request and for a probe.
 func (p *Pool) execute(ctx context.Context, h *host, c *conn, text []byte, dispatchID string) gateway.Result {
-	var pass *accord.Pass
+	var pass *accord.Permit
 	if p.Gate != nil {
 		var refused error
 		entry := p.currentEntry(h)
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -61,7 +61,7 @@
 
 // roundTrip writes a request and reads its answer, until ctx ends. It reports in written whether the request's last
 // byte was written. If pass is not nil, bytes go out only while the pass allows it.
-func (c *conn) roundTrip(ctx context.Context, text []byte, pass *accord.Pass) (r response, written bool, err error) {
+func (c *conn) roundTrip(ctx context.Context, text []byte, pass *accord.Permit) (r response, written bool, err error) {
 	stopAbort := context.AfterFunc(ctx, c.abort)
 	if pass == nil {
 		n, e := c.raw.Write(text)
@@ -84,17 +84,17 @@
 // writeChecked writes a request in pieces and checks before each one that the agreed rules and the lease still allow
 // it. The process may be suspended at any point in here, and a host starts to work on a request when its last byte
 // arrives.
-func (c *conn) writeChecked(text []byte, pass *accord.Pass) (written bool, err error) {
+func (c *conn) writeChecked(text []byte, pass *accord.Permit) (written bool, err error) {
 	defer pass.End()
 	for rest := text; len(rest) > 0; {
 		if len(rest) < len(text) { // Gate.Begin has just checked the first piece
-			if err := pass.Still(); err != nil {
+			if err := pass.Recheck(); err != nil {
 				return false, err
 			}
 		}
 		n, err := c.raw.Write(rest[:min(checkedWriteSize, len(rest))])
 		if err != nil {
-			if forbidden := pass.Still(); forbidden != nil { // the gate aborted the write: not a failure of the host
+			if forbidden := pass.Recheck(); forbidden != nil { // the gate aborted the write: not a failure of the host
 				err = forbidden
 			}
 			return false, err
