--- a/internal/ledger/counter.go
+++ b/internal/ledger/counter.go
@@ -15,20 +15,20 @@
 
 // Counter counts a router's final answers in a ledger. It is the client side's Accounts.
 type Counter struct {
-	ledger *Ledger
-	strict bool
-	worth  map[string]int64 // by class, millionths
-	count  *metrics.Registry
-	log    *zap.Logger
-	told   atomic.Bool // that the disk fails: once until it is well again
+	ledger        *Ledger
+	strict        bool
+	worthByClass  map[string]int64 // by class, millionths
+	count         *metrics.Registry
+	log           *zap.Logger
+	failureLogged atomic.Bool // that the disk fails: once until it is well again
 }
 
 // NewCounter makes a counter. Strict: while the disk fails nothing new is taken; else answers go out uncounted, which
 // is counted and said.
 func NewCounter(l *Ledger, s logic.Settings, strict bool, count *metrics.Registry, log *zap.Logger) *Counter {
-	c := &Counter{ledger: l, strict: strict, worth: map[string]int64{}, count: count, log: log}
+	c := &Counter{ledger: l, strict: strict, worthByClass: map[string]int64{}, count: count, log: log}
 	for _, class := range s.Classes {
-		c.worth[class.Name] = int64(math.Round(class.Worth * 1e6))
+		c.worthByClass[class.Name] = int64(math.Round(class.Worth * 1e6))
 	}
 	return c
 }
@@ -40,18 +40,18 @@
 func (c *Counter) Count(ctx context.Context, f exchange.Fields, a exchange.Answer) (written func()) {
 	u := usage.Use{Tenant: f.Tenant, Class: f.Class, Outcome: outcomes[a.Status], Attempts: int64(a.Attempts), Work: f.ExpectedWork}
 	if a.Status == exchange.Served {
-		u.Worth = c.worth[f.Class]
+		u.Worth = c.worthByClass[f.Class]
 	}
 	serial, err := c.ledger.Count(ctx, u)
 	if err == nil {
 		c.count.Inc("ledger.counted")
-		if c.told.Swap(false) {
+		if c.failureLogged.Swap(false) {
 			c.log.Info("the ledger can be written again")
 		}
 		return func() { c.ledger.Confirm(serial) }
 	}
 	c.count.Inc("ledger.uncounted")
-	if !c.told.Swap(true) {
+	if !c.failureLogged.Swap(true) {
 		c.log.Error("answers go out uncounted", zap.Error(err), zap.String("tenant", f.Tenant), zap.String("class", f.Class))
 	}
 	return func() { c.ledger.Confirm(serial) } // it may have become durable after all
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -22,21 +22,21 @@
 type Follower struct {
 	name   string // of the peer, in the log and in counters
 	addr   string // the first address
-	rule   backoff.Policy
+	policy backoff.Policy
 	limits config.Limits
-	lost   func() // told once in a row of failures
+	onLost func() // told once in a row of failures
 	count  *metrics.Registry
 	log    *zap.Logger
 	moves  chan string
 
-	mu     sync.Mutex
-	places []*Endpoint // the newest last; those before it until they have ended
+	mu        sync.Mutex
+	endpoints []*Endpoint // the newest last; those before it until they have ended
 }
 
 // New makes a follower; Run starts it.
-func New(name, addr string, rule backoff.Policy, limits config.Limits, lost func(), count *metrics.Registry,
+func New(name, addr string, policy backoff.Policy, limits config.Limits, onLost func(), count *metrics.Registry,
 	log *zap.Logger) *Follower {
-	return &Follower{name: name, addr: addr, rule: rule, limits: limits, lost: lost, count: count, log: log,
+	return &Follower{name: name, addr: addr, policy: policy, limits: limits, onLost: onLost, count: count, log: log,
 		moves: make(chan string, 1)}
 }
 
@@ -44,41 +44,41 @@
 type Endpoint struct {
 	Addr string
 
-	of       *Follower
-	pace     *backoff.Pacer
-	spoken   bool            // it has brought news; guarded by of.mu
-	replaced context.Context // ends once a later place has brought news
-	replace  context.CancelFunc
-	stop     context.CancelFunc
+	follower     *Follower
+	pacer        *backoff.Pacer
+	receiving    bool            // it has brought news; guarded by of.mu
+	replaced     context.Context // ends once a later place has brought news
+	markReplaced context.CancelFunc
+	stop         context.CancelFunc
 }
 
 // Replaced ends once a later place has brought news: what this one still says is out of date, and what waits
 // on its connection has until its session's context ends.
-func (p *Endpoint) Replaced() context.Context { return p.replaced }
+func (e *Endpoint) Replaced() context.Context { return e.replaced }
 
 // Newest tells that no later address has come.
-func (p *Endpoint) IsNewest() bool {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	return p.of.places[len(p.of.places)-1] == p
+func (e *Endpoint) IsNewest() bool {
+	e.follower.mu.Lock()
+	defer e.follower.mu.Unlock()
+	return e.follower.endpoints[len(e.follower.endpoints)-1] == e
 }
 
 // Spoke notes that the place has brought something that can be read, and tells whether that counts. Danger: the
 // last words of an earlier address, read late, would undo what the present one has told.
-func (p *Endpoint) RecordMessage() bool {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	newest := p.of.places[len(p.of.places)-1] == p
-	if newest && !p.spoken {
-		p.spoken = true
-		for _, earlier := range p.of.places[:len(p.of.places)-1] {
-			earlier.replace()
+func (e *Endpoint) RecordMessage() bool {
+	e.follower.mu.Lock()
+	defer e.follower.mu.Unlock()
+	newest := e.follower.endpoints[len(e.follower.endpoints)-1] == e
+	if newest && !e.receiving {
+		e.receiving = true
+		for _, earlier := range e.follower.endpoints[:len(e.follower.endpoints)-1] {
+			earlier.markReplaced()
 		}
 	}
-	if p.pace.RecordSuccess() && newest {
-		p.of.log.Info(p.of.name + " is back")
+	if e.pacer.RecordSuccess() && newest {
+		e.follower.log.Info(e.follower.name + " is back")
 	}
-	return p.replaced.Err() == nil
+	return e.replaced.Err() == nil
 }
 
 // Move goes over to another address; it never blocks.
@@ -97,86 +97,86 @@
 }
 
 // Run follows the peer until ctx ends; fresh gives each address a session of its own.
-func (f *Follower) Run(ctx context.Context, fresh func() Session) {
+func (f *Follower) Run(ctx context.Context, newSession func() Session) {
 	var work sync.WaitGroup
 	defer work.Wait()
 	for addr := f.addr; ; {
-		p, here := f.begin(ctx, addr)
-		session := fresh()
+		endpoint, endpointCtx := f.addEndpoint(ctx, addr)
+		session := newSession()
 		work.Go(func() {
-			f.hold(here, p, session)
-			f.end(p)
+			f.keepConnected(endpointCtx, endpoint, session)
+			f.removeEndpoint(endpoint)
 		})
 		select {
 		case <-ctx.Done():
 			return
 		case addr = <-f.moves:
-			f.log.Info(f.name+" moves", zap.String("from", p.Addr), zap.String("to", addr))
+			f.log.Info(f.name+" moves", zap.String("from", endpoint.Addr), zap.String("to", addr))
 		}
 	}
 }
 
 // begin adds a place. Those before it have a while to finish what waits on them. Danger: the old address is
 // soon closed, but until the new one has spoken its news are the only ones.
-func (f *Follower) begin(ctx context.Context, addr string) (*Endpoint, context.Context) {
-	p := &Endpoint{Addr: addr, of: f}
-	here, stop := context.WithCancel(ctx)
-	p.stop = stop
-	p.replaced, p.replace = context.WithCancel(ctx)
+func (f *Follower) addEndpoint(ctx context.Context, addr string) (*Endpoint, context.Context) {
+	endpoint := &Endpoint{Addr: addr, follower: f}
+	endpointCtx, stop := context.WithCancel(ctx)
+	endpoint.stop = stop
+	endpoint.replaced, endpoint.markReplaced = context.WithCancel(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p.pace = backoff.New(f.rule, len(f.places) > 0)
-	for _, earlier := range f.places {
+	endpoint.pacer = backoff.New(f.policy, len(f.endpoints) > 0)
+	for _, earlier := range f.endpoints {
 		time.AfterFunc(f.limits.AddressChangeGrace, earlier.stop)
 	}
-	f.places = append(f.places, p)
-	return p, here
+	f.endpoints = append(f.endpoints, endpoint)
+	return endpoint, endpointCtx
 }
 
 // end forgets a place.
-func (f *Follower) end(p *Endpoint) {
-	p.stop()
-	p.replace()
+func (f *Follower) removeEndpoint(endpoint *Endpoint) {
+	endpoint.stop()
+	endpoint.markReplaced()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if i := slices.Index(f.places, p); i < len(f.places)-1 { // the newest stays, for Newest
-		f.places = slices.Delete(f.places, i, i+1)
+	if i := slices.Index(f.endpoints, endpoint); i < len(f.endpoints)-1 { // the newest stays, for Newest
+		f.endpoints = slices.Delete(f.endpoints, i, i+1)
 	}
 }
 
 // hold connects to a place again and again, until ctx ends or a later place has come.
-func (f *Follower) hold(ctx context.Context, p *Endpoint, session Session) {
-	wait(ctx, p.begin())
-	for ctx.Err() == nil && p.IsNewest() {
-		err := session(ctx, p)
-		if ctx.Err() != nil || !p.IsNewest() {
+func (f *Follower) keepConnected(ctx context.Context, endpoint *Endpoint, session Session) {
+	sleep(ctx, endpoint.initialDelay())
+	for ctx.Err() == nil && endpoint.IsNewest() {
+		err := session(ctx, endpoint)
+		if ctx.Err() != nil || !endpoint.IsNewest() {
 			return
 		}
 		f.count.Inc(f.name + ".broken")
-		pause, first := p.failed()
+		pause, first := endpoint.recordFailure()
 		if first {
 			f.log.Warn(f.name+" lost, going on with what it told last", zap.Error(err))
-			f.lost()
+			f.onLost()
 		}
-		wait(ctx, pause)
+		sleep(ctx, pause)
 	}
 }
 
 // begin and failed ask the place's pace, which Spoke is told to as well, maybe from another goroutine.
-func (p *Endpoint) begin() time.Duration {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	return p.pace.InitialDelay()
+func (e *Endpoint) initialDelay() time.Duration {
+	e.follower.mu.Lock()
+	defer e.follower.mu.Unlock()
+	return e.pacer.InitialDelay()
 }
 
-func (p *Endpoint) failed() (pause time.Duration, first bool) {
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	return p.pace.RecordFailure()
+func (e *Endpoint) recordFailure() (pause time.Duration, first bool) {
+	e.follower.mu.Lock()
+	defer e.follower.mu.Unlock()
+	return e.pacer.RecordFailure()
 }
 
 // wait pauses, or until ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
