--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -12,46 +12,47 @@
 	"merlinarch/internal/metrics"
 )
 
-// Reasons why an attempt may not start.
+// Reasons why an attempt may not start or continue.
 var (
-	ErrNoLease   = errors.New("no lease on the rules stands")
+	ErrNoLease   = errors.New("no valid lease on the rules")
 	ErrCordoned  = errors.New("the server is cordoned")
-	ErrWithdrawn = errors.New("the planned work was withdrawn")
+	ErrWithdrawn = errors.New("the dispatch was withdrawn")
 )
 
-// Gate is what every attempt passes right before its bytes go out. Its methods are safe for use by several goroutines.
+// Gate admits or refuses each attempt right before its bytes are sent, by the rules and the lease. Its methods are safe
+// for use by several goroutines.
 type Gate struct {
 	clock  Clock
 	count  *metrics.Registry
-	closed atomic.Bool // as of the last look at the conduct
+	closed atomic.Bool // nothing may be sent, as of the last refreshPermission
 
 	mu      sync.Mutex
 	holder  lease.Holder
-	view    *ruleset.View // nil: none has been taken in
+	view    *ruleset.View // nil: no version has been applied
 	permits map[*Permit]struct{}
-	drained chan struct{} // closed when the last pass that was broken off has ended; nil: nobody waits
+	drained chan struct{} // closed when the last revoked permit has ended; nil: no Apply waits
 }
 
-// NewGate makes a closed gate.
+// NewGate returns a gate that refuses every attempt until a version is applied and a lease granted.
 func NewGate(mode lease.Mode, clock Clock, count *metrics.Registry) *Gate {
 	g := &Gate{clock: clock, count: count, holder: lease.Holder{Mode: mode}, permits: map[*Permit]struct{}{}}
 	g.closed.Store(true)
 	return g
 }
 
-// Pass lets one attempt's bytes go out, piece by piece.
+// Permit admits one attempt. It is checked again before each further piece of the attempt is sent.
 type Permit struct {
 	gate          *Gate
 	host          string
 	startedUnixMs int64
-	dispatch      string
-	revoked       bool // off: a version has come that forbids it
+	dispatch      string // empty for a client's request
+	revoked       bool   // a newer version forbids the attempt, and abort was called
 	abort         func()
 }
 
-// Begin lets an attempt to one life of a server start, or tells why it may not; planned is the name of the planned work
-// that it is for, empty for a client's request. abort breaks off its writing; it is called when a version comes that
-// forbids what is still being written. End has to follow.
+// Begin admits an attempt at a server that started at the given time, or returns the reason for refusing it. dispatch
+// names the dispatch that the attempt is for; it is empty for a client's request. If a newer version forbids the attempt
+// before End is called, the gate calls abort, which has to stop its writing. The caller has to call End on the permit.
 func (g *Gate) Begin(host string, startedUnixMs int64, dispatch string, abort func()) (*Permit, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,8 +64,8 @@
 	return p, nil
 }
 
-// allows is called under the lock. The clock is read here, at the last moment: the process may have stood still since
-// the attempt was decided, or since it got its connection.
+// check returns the reason why an attempt may not be sent now, or nil. The caller holds mu. The clock is read here, right
+// before sending, because the process may have been paused since the attempt was decided or since it got its connection.
 func (g *Gate) check(host string, startedUnixMs int64, dispatch string) error {
 	if permission := g.refreshPermission(); permission == lease.None || dispatch != "" && permission != lease.Full {
 		g.count.Inc("accord.held_back")
@@ -81,15 +82,16 @@
 	return nil
 }
 
-// Still tells whether the rest of an attempt may go out. Danger: a host begins on a request with its last byte; one that
-// was half sent when the process stood still must not be completed by it when it wakes.
+// Recheck returns the reason why the rest of an attempt may not be sent, or nil. A host starts on a request when it has
+// received the last byte. Without this check, a process that was paused in the middle of a request could complete it
+// when it resumes, although its lease has ended meanwhile.
 func (p *Permit) Recheck() error {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	return p.gate.check(p.host, p.startedUnixMs, p.dispatch)
 }
 
-// End tells that nothing more of the attempt will be written.
+// End releases the permit: nothing more of the attempt will be written.
 func (p *Permit) End() {
 	g := p.gate
 	g.mu.Lock()
@@ -98,7 +100,7 @@
 	g.signalDrained()
 }
 
-// wake is called under the lock: it tells Take when the last pass that was broken off has ended.
+// signalDrained lets Apply continue once no revoked permit is left. The caller holds mu.
 func (g *Gate) signalDrained() {
 	if g.drained == nil {
 		return
@@ -112,9 +114,9 @@
 	g.drained = nil
 }
 
-// Take puts a newer version in force. It returns once nothing that it forbids goes out any more; only then has the version
-// been taken in. What an older version let begin, and this one allows as well, goes on. Danger: waited for, one server
-// that does not read would keep this dispatcher from every later version, and in the end from its lease.
+// Apply puts a newer version in force. It returns once nothing that the version forbids is being sent; only then does the
+// version count as applied. It does not wait for attempts that began under an older version and are still allowed:
+// otherwise one server that does not read would block every later version, and in the end the lease.
 func (g *Gate) Apply(ctx context.Context, view *ruleset.View) error {
 	g.mu.Lock()
 	if g.view != nil && view.Version() <= g.view.Version() {
@@ -144,7 +146,8 @@
 	return nil
 }
 
-// Grant notes a lease, from when its asking was sent.
+// Grant records a lease on a version, counted from when the beat that asked for it was sent. It returns false if that
+// version has not been applied or the length is not positive.
 func (g *Gate) Grant(sentAt time.Duration, version uint64, length time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -152,7 +155,7 @@
 	return g.holder.RecordGrant(sentAt, version, length)
 }
 
-// Lost closes the gate until another lease is granted: the record knows this life no more.
+// Revoke closes the gate until another lease is granted, because a later incarnation has replaced this one.
 func (g *Gate) Revoke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,7 +163,7 @@
 	g.refreshPermission()
 }
 
-// look is called under the lock: it tells what may be done now, and notes it for Refusing.
+// refreshPermission returns what may be sent now, and stores it for Refusing. The caller holds mu.
 func (g *Gate) refreshPermission() lease.Permission {
 	permission := lease.None
 	if g.view != nil {
@@ -170,21 +173,21 @@
 	return permission
 }
 
-// Holds is the newest version that was taken in.
+// HeldVersion returns the newest version that was applied.
 func (g *Gate) HeldVersion() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.holder.Version()
 }
 
-// Conduct is what may be done now.
+// Permission returns what may be sent now.
 func (g *Gate) Permission() lease.Permission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.refreshPermission()
 }
 
-// Left is how long the lease stands yet; negative if it does not.
+// LeaseRemaining returns how long the lease is still valid; it is negative if there is no valid lease.
 func (g *Gate) LeaseRemaining() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -195,6 +198,7 @@
 	return remaining
 }
 
-// Refusing tells that nothing new is to be taken from clients, as nothing may be sent. It goes by the last look at the
-// lease, which the follower takes at its end; what is taken in between meets the gate.
+// Refusing reports whether to refuse new requests from clients because nothing may be sent. It returns the result of
+// the last check of the lease; the Follower checks it when the lease ends. A request that is accepted in between is
+// refused by Begin.
 func (g *Gate) Refusing() bool { return g.closed.Load() }
--- a/internal/accord/wire.go
+++ b/internal/accord/wire.go
@@ -1,8 +1,11 @@
-// Package accord is a dispatcher's side of the agreed record: it keeps a lease on the newest version of the rules, hands
-// the rules on, and lets nothing start that they or the lease do not allow. The registrars' side is package registrar;
-// what either decides is under internal/decide.
+// Package accord is the dispatcher's side of the replicated configuration. A dispatcher is a gateway that holds a read
+// lease on the rules; a registrar is a member of the Raft group that replicates them. The package renews the lease with
+// regular beats (heartbeats), passes each new version of the rules to the gateway's decisions, and admits an attempt only
+// if the rules and the lease allow it. The registrars' side is package registrar; the decisions of both sides are under
+// internal/decide.
 //
-// Bodies are JSON over HTTP, each with the digest of RFC 9530, so that what a network spoils is refused, not obeyed.
+// Bodies are JSON over HTTP. Each carries a digest (RFC 9530), so that a body that was corrupted on the network is
+// rejected instead of applied.
 package accord
 
 import (
@@ -24,7 +27,7 @@
 	"merlinarch/internal/decide/statemachine"
 )
 
-// Paths that a registrar answers at.
+// Paths of a registrar's HTTP interface.
 const (
 	PathEnrol   = "/v1/enrol"
 	PathBeat    = "/v1/beat"
@@ -36,11 +39,12 @@
 	PathMembers = "/v1/members"
 )
 
-// MaxBody bounds a body, either way: a document of the largest size, a list of servers, and room round them.
+// MaxBodySize is the largest request or response body in bytes. It has room for a document of the maximum size and a
+// list of servers.
 const MaxBodySize = 1 << 20
 
-// Enrol asks for a life. Danger: a dispatcher that counts leases by other terms than its registrars would break what
-// they conclude; terms that differ are refused.
+// EnrolRequest registers a dispatcher's process and asks for its incarnation number. A registrar refuses lease terms that
+// differ from its own: with other terms, the dispatcher could still act on a lease that the registrars take for expired.
 type EnrolRequest struct {
 	Cluster    string      `json:"cluster"`
 	Name       string      `json:"name"`
@@ -51,51 +55,51 @@
 	Terms      lease.Terms `json:"terms"`
 }
 
-// Enrolled gives it.
+// EnrolResponse carries the incarnation that the process was given.
 type EnrolResponse struct {
 	Incarnation uint64 `json:"life"`
 }
 
-// Beat asks for a lease, and tells what the asker has taken in.
+// Beat is a dispatcher's heartbeat: it asks for a lease and reports which version the dispatcher has applied.
 type Beat struct {
 	Cluster        string            `json:"cluster"`
 	Name           string            `json:"name"`
 	Incarnation    uint64            `json:"life"`
-	HeldVersion    uint64            `json:"holds"`             // nothing starts under an older version any more
-	UnknownKinds   []string          `json:"unknown,omitempty"` // kinds of rules in the newest version that the asker does not understand
-	ServersDigest  string            `json:"list,omitempty"`    // a sum over Listed
-	Servers        []cordon.Server   `json:"listed,omitempty"`  // where the registrar has asked for it
+	HeldVersion    uint64            `json:"holds"`             // no attempt starts or continues under an older version
+	UnknownKinds   []string          `json:"unknown,omitempty"` // kinds of rules in the newest version that the sender does not support
+	ServersDigest  string            `json:"list,omitempty"`    // changes whenever the list of servers does
+	Servers        []cordon.Server   `json:"listed,omitempty"`  // only if the registrar's last response asked for the list
 	ServerEvidence []cordon.Evidence `json:"reports,omitempty"`
 
-	UnixMs       int64                  `json:"unix_ms"`         // the asker's wall clock
-	SiteEvidence []contact.Evidence     `json:"met,omitempty"`   // at sites, since the last beat
-	Outcomes     []statemachine.Outcome `json:"ended,omitempty"` // tries of planned work, until they are listed as its tasks no more
+	UnixMs       int64                  `json:"unix_ms"`         // the sender's wall clock
+	SiteEvidence []contact.Evidence     `json:"met,omitempty"`   // results of attempts at each site since the last beat
+	Outcomes     []statemachine.Outcome `json:"ended,omitempty"` // finished tries of dispatches; repeated until the response no longer lists their tasks
 }
 
-// Granted is a lease on a version, from when the Beat was sent.
+// BeatResponse grants a lease on a version. The lease starts when the Beat was sent.
 type BeatResponse struct {
 	Cluster     string              `json:"cluster"`
 	Leader      string              `json:"leader"`
 	Version     uint64              `json:"version"`
 	LeaseNs     int64               `json:"lease_ns"`
-	Document    *ruleset.Document   `json:"document,omitempty"` // where the asker held another version
+	Document    *ruleset.Document   `json:"document,omitempty"` // if the dispatcher held another version
 	WantServers bool                `json:"want_list,omitempty"`
-	Tasks       []statemachine.Task `json:"tasks,omitempty"` // planned work that the asker has claimed
+	Tasks       []statemachine.Task `json:"tasks,omitempty"` // dispatches that this dispatcher has claimed
 }
 
-// News is what a watch brings: a newer version, or that there is none yet.
+// WatchResponse answers a watch: it holds a newer version, or no document if there was none within WatchTimeout.
 type WatchResponse struct {
 	Cluster  string            `json:"cluster"`
 	Document *ruleset.Document `json:"document,omitempty"`
 }
 
-// Ask is an operator's.
+// OperatorRequest asks for changes to the configuration on behalf of an operator.
 type OperatorRequest struct {
 	Cluster string `json:"cluster"`
 	ruleset.ChangeRequest
 }
 
-// Retire is an operator's word that a dispatcher has ended.
+// RetireRequest is an operator's statement that a dispatcher has ended for good.
 type RetireRequest struct {
 	Cluster string `json:"cluster"`
 	Name    string `json:"name"`
@@ -104,71 +108,72 @@
 	Forced  bool   `json:"forced,omitempty"`
 }
 
-// Role is what a registrar tells of itself.
+// RegistrarStatus is a registrar's view of itself and of its Raft group.
 type RegistrarStatus struct {
 	Name         string `json:"name"`
-	Leader       string `json:"leader"` // empty: none that it knows of
+	Leader       string `json:"leader"` // empty if it knows of none
 	IsLeader     bool   `json:"leads"`
 	Term         uint64 `json:"term"`
 	AppliedIndex uint64 `json:"applied"`
 	Version      uint64 `json:"version"`
 }
 
-// Status is what a leader tells of the record.
+// Status is the leader's view of the replicated configuration and of the cluster.
 type Status struct {
 	Cluster              string                                `json:"cluster"`
 	Role                 RegistrarStatus                       `json:"role"`
 	Head                 ruleset.Head                          `json:"head"`
-	StalenessBound       string                                `json:"bound"`            // D
-	StalenessBoundBySite map[string]string                     `json:"bounds,omitempty"` // D by site, where its dispatchers get longer leases now
+	StalenessBound       string                                `json:"bound"`            // how long after a new version is agreed an attempt may still start under an older one
+	StalenessBoundBySite map[string]string                     `json:"bounds,omitempty"` // the same for each site whose dispatchers get longer leases now
 	Rules                ruleset.Rules                         `json:"rules"`
 	PendingChanges       []ruleset.PendingChange               `json:"waiting,omitempty"`
 	Cordons              []statemachine.CordonStatus           `json:"cordons,omitempty"`
 	Dispatches           map[string]statemachine.DispatchState `json:"work,omitempty"`
 	Sites                map[string]statemachine.SiteStatus    `json:"sites,omitempty"`
 	Dispatchers          []DispatcherStatus                    `json:"dispatchers,omitempty"`
-	MissingDispatchers   []string                              `json:"expected_missing,omitempty"` // named by the rules, and not in the record
+	MissingDispatchers   []string                              `json:"expected_missing,omitempty"` // expected by the rules, but not enrolled
 	Registrars           map[string]statemachine.Registrar     `json:"registrars"`
 }
 
-// Dispatcher is what a leader tells of one.
+// DispatcherStatus is the leader's view of one dispatcher.
 type DispatcherStatus struct {
 	Name          string     `json:"name"`
 	Incarnation   uint64     `json:"life"`
 	Mode          lease.Mode `json:"mode"`
-	SeenByLeader  bool       `json:"heard"` // by this leader
+	SeenByLeader  bool       `json:"heard"` // this leader has received a beat from it
 	SinceLastBeat string     `json:"ago,omitempty"`
 	HeldVersion   uint64     `json:"holds"`
 	UnknownKinds  []string   `json:"unknown,omitempty"`
 }
 
-// Versions is a stretch of the history.
+// VersionHistory is a range of consecutive versions.
 type VersionHistory struct {
 	Steps []ruleset.Step `json:"steps"`
 }
 
-// Problem is why a registrar did not do what was asked.
+// Problem says why a registrar did not serve a request.
 type Problem struct {
 	Code   string `json:"code"`
 	Text   string `json:"text"`
-	Leader string `json:"leader,omitempty"` // the name of whom to ask, where it is known
+	Leader string `json:"leader,omitempty"` // the name of the registrar to ask instead, if it is known
 	status int
 }
 
+// Error gives the code and the text.
 func (p *Problem) Error() string { return fmt.Sprintf("registrar: %s: %s", p.Code, p.Text) }
 
 // Codes of problems.
 const (
-	CodeWrongCluster     = "cluster"    // another cluster's
-	CodeNotLeader        = "not_leader" // ask the leader
-	CodeStaleIncarnation = "life"       // this life was replaced: enrol anew
-	CodeTermsMismatch    = "terms"      // the two are set differently
-	CodeBusy             = "busy"       // not now: no leader, or its standing can't be proved
-	CodeInvalid          = "wrong"      // it can't be
-	CodeNotFound         = "gone"       // there is none of this name or version
+	CodeWrongCluster     = "cluster"    // the request is for another cluster
+	CodeNotLeader        = "not_leader" // only the leader serves this request
+	CodeStaleIncarnation = "life"       // a later incarnation replaced the sender's: it has to enrol again
+	CodeTermsMismatch    = "terms"      // the sender's lease terms differ from the registrar's
+	CodeBusy             = "busy"       // temporary: there is no leader, or it cannot prove that it still leads
+	CodeInvalid          = "wrong"      // the request is invalid
+	CodeNotFound         = "gone"       // nothing has this name or version
 )
 
-// NewProblem makes one, with the HTTP status that goes with its code.
+// NewProblem returns a Problem with the HTTP status that belongs to its code.
 func NewProblem(code, text string) *Problem {
 	status := map[string]int{CodeWrongCluster: http.StatusForbidden, CodeNotLeader: http.StatusMisdirectedRequest,
 		CodeStaleIncarnation: http.StatusConflict, CodeTermsMismatch: http.StatusPreconditionFailed, CodeBusy: http.StatusServiceUnavailable,
@@ -181,15 +186,16 @@
 
 const headerDigest = "Content-Digest"
 
+// digest returns the Content-Digest value of a body.
 func digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 }
 
-// ErrSpoilt tells that a body is not what its sender wrote.
+// ErrDigestMismatch is returned for a body that differs from what its sender wrote.
 var ErrDigestMismatch = errors.New("body does not match its digest")
 
-// readBody takes a body whole, at most so many bytes, and checks it.
+// readBody reads a whole body of at most maxBytes bytes, checks its digest and decodes it into a value, unless into is nil.
 func readBody(header http.Header, body io.Reader, maxBytes int64, into any) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxBytes+1))
 	switch {
@@ -209,12 +215,12 @@
 	return nil
 }
 
-// ReadRequest takes a request's body.
+// ReadRequest reads and checks a request's body of at most maxBytes bytes and decodes it.
 func ReadRequest(r *http.Request, maxBytes int64, into any) error {
 	return readBody(r.Header, r.Body, maxBytes, into)
 }
 
-// WriteResponse answers with a value, or with a *Problem.
+// WriteResponse answers a request with a value, or with a *Problem under its HTTP status.
 func WriteResponse(w http.ResponseWriter, v any) {
 	status := http.StatusOK
 	if p, ok := v.(*Problem); ok {
@@ -227,11 +233,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(headerDigest, digest(data))
 	w.WriteHeader(status)
-	w.Write(data) // whoever asked has gone if it fails
+	w.Write(data) // an error means that the client has disconnected
 }
 
-// Call asks a registrar: in is sent, unless it is nil, and the answer put into out. What the registrar refused is a
-// *Problem.
+// Call sends one request to a registrar: a POST with in as its body, or a GET if in is nil. It decodes the answer into
+// out. If the registrar refused the request, the error is a *Problem.
 func Call(ctx context.Context, client *http.Client, addr, path string, in, out any) error {
 	method, body := http.MethodGet, []byte(nil)
 	if in != nil {
