--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -1,5 +1,5 @@
-// Package reconnect keeps up with a peer of the router whose address may change: it connects anew, with pauses,
-// when a connection breaks, and goes over from an address to the next without a gap.
+// Package reconnect keeps a connection to a peer of the router whose address may change. It reconnects with backoff when
+// a connection breaks, and moves from one address to the next without a gap.
 package reconnect
 
 import (
@@ -15,73 +15,73 @@
 	"merlinarch/internal/metrics"
 )
 
-// Session holds one connection to a peer until it breaks or ctx ends.
+// Session runs one connection to a peer until it breaks or ctx ends.
 type Session func(ctx context.Context, at *Endpoint) error
 
-// Follower follows one peer.
+// Follower keeps the connection to one peer, at its present address.
 type Follower struct {
 	name   string // of the peer, in the log and in counters
 	addr   string // the first address
 	policy backoff.Policy
 	limits config.Limits
-	onLost func() // told once in a row of failures
+	onLost func() // called on the first of consecutive failures
 	count  *metrics.Registry
 	log    *zap.Logger
 	moves  chan string
 
 	mu        sync.Mutex
-	endpoints []*Endpoint // the newest last; those before it until they have ended
+	endpoints []*Endpoint // the newest last; earlier ones until they have ended
 }
 
-// New makes a follower; Run starts it.
+// New returns a Follower that does nothing until Run is called.
 func New(name, addr string, policy backoff.Policy, limits config.Limits, onLost func(), count *metrics.Registry,
 	log *zap.Logger) *Follower {
 	return &Follower{name: name, addr: addr, policy: policy, limits: limits, onLost: onLost, count: count, log: log,
 		moves: make(chan string, 1)}
 }
 
-// Place is one address of a peer, and what became of it.
+// Endpoint is one address of a peer, with the state of the connection to it.
 type Endpoint struct {
 	Addr string
 
 	follower     *Follower
 	pacer        *backoff.Pacer
-	receiving    bool            // it has brought news; guarded by of.mu
-	replaced     context.Context // ends once a later place has brought news
+	hasReceived  bool            // a message has been read from it while it was the newest; guarded by follower.mu
+	replaced     context.Context // ends once a message has been read from a later endpoint
 	markReplaced context.CancelFunc
 	stop         context.CancelFunc
 }
 
-// Replaced ends once a later place has brought news: what this one still says is out of date, and what waits
-// on its connection has until its session's context ends.
+// Replaced returns a context that ends once a message has been read from a later endpoint. From then on, messages from
+// this endpoint are out of date; what waits on its connection has until its session's context ends.
 func (e *Endpoint) Replaced() context.Context { return e.replaced }
 
-// Newest tells that no later address has come.
+// IsNewest reports whether this is the peer's latest address.
 func (e *Endpoint) IsNewest() bool {
 	e.follower.mu.Lock()
 	defer e.follower.mu.Unlock()
 	return e.follower.endpoints[len(e.follower.endpoints)-1] == e
 }
 
-// Spoke notes that the place has brought something that can be read, and tells whether that counts. Danger: the
-// last words of an earlier address, read late, would undo what the present one has told.
+// RecordMessage records that a valid message has been read from the endpoint, and reports whether to use the message.
+// Without this check, a message from an earlier address that is read late would undo what the present one has sent.
 func (e *Endpoint) RecordMessage() bool {
 	e.follower.mu.Lock()
 	defer e.follower.mu.Unlock()
 	newest := e.follower.endpoints[len(e.follower.endpoints)-1] == e
-	if newest && !e.receiving {
-		e.receiving = true
+	if newest && !e.hasReceived {
+		e.hasReceived = true
 		for _, earlier := range e.follower.endpoints[:len(e.follower.endpoints)-1] {
 			earlier.markReplaced()
 		}
 	}
 	if e.pacer.RecordSuccess() && newest {
-		e.follower.log.Info(e.follower.name + " is back")
+		e.follower.log.Info(e.follower.name + " is connected again")
 	}
 	return e.replaced.Err() == nil
 }
 
-// Move goes over to another address; it never blocks.
+// Move changes the peer's address; it never blocks. If an earlier change is still pending, the new one replaces it.
 func (f *Follower) Move(addr string) {
 	for {
 		select {
@@ -89,14 +89,14 @@
 			return
 		default:
 		}
-		select { // one that was not gone over to yet is out of date
+		select { // drop a pending move, which is out of date
 		case <-f.moves:
 		default:
 		}
 	}
 }
 
-// Run follows the peer until ctx ends; fresh gives each address a session of its own.
+// Run keeps the connection to the peer until ctx ends. newSession is called once for each address.
 func (f *Follower) Run(ctx context.Context, newSession func() Session) {
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -116,8 +116,8 @@
 	}
 }
 
-// begin adds a place. Those before it have a while to finish what waits on them. Danger: the old address is
-// soon closed, but until the new one has spoken its news are the only ones.
+// addEndpoint adds the newest endpoint. Earlier ones have AddressChangeGrace to finish what waits on them: the old address
+// will soon be closed, but until a message has been read from the new one it is the only source.
 func (f *Follower) addEndpoint(ctx context.Context, addr string) (*Endpoint, context.Context) {
 	endpoint := &Endpoint{Addr: addr, follower: f}
 	endpointCtx, stop := context.WithCancel(ctx)
@@ -133,18 +133,18 @@
 	return endpoint, endpointCtx
 }
 
-// end forgets a place.
+// removeEndpoint releases an endpoint that has ended. The newest stays in the list, because IsNewest compares with it.
 func (f *Follower) removeEndpoint(endpoint *Endpoint) {
 	endpoint.stop()
 	endpoint.markReplaced()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if i := slices.Index(f.endpoints, endpoint); i < len(f.endpoints)-1 { // the newest stays, for Newest
+	if i := slices.Index(f.endpoints, endpoint); i < len(f.endpoints)-1 {
 		f.endpoints = slices.Delete(f.endpoints, i, i+1)
 	}
 }
 
-// hold connects to a place again and again, until ctx ends or a later place has come.
+// keepConnected runs sessions at an endpoint, with backoff in between, until ctx ends or there is a later endpoint.
 func (f *Follower) keepConnected(ctx context.Context, endpoint *Endpoint, session Session) {
 	sleep(ctx, endpoint.initialDelay())
 	for ctx.Err() == nil && endpoint.IsNewest() {
@@ -155,27 +155,29 @@
 		f.count.Inc(f.name + ".broken")
 		pause, first := endpoint.recordFailure()
 		if first {
-			f.log.Warn(f.name+" lost, going on with what it told last", zap.Error(err))
+			f.log.Warn(f.name+" lost, continuing with its last data", zap.Error(err))
 			f.onLost()
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// begin and failed ask the place's pace, which Spoke is told to as well, maybe from another goroutine.
+// initialDelay returns the pause before the first connection. Like recordFailure, it locks the pacer, which RecordMessage
+// may use from another goroutine.
 func (e *Endpoint) initialDelay() time.Duration {
 	e.follower.mu.Lock()
 	defer e.follower.mu.Unlock()
 	return e.pacer.InitialDelay()
 }
 
+// recordFailure returns the pause before the next connection, and whether this is the first of consecutive failures.
 func (e *Endpoint) recordFailure() (pause time.Duration, first bool) {
 	e.follower.mu.Lock()
 	defer e.follower.mu.Unlock()
 	return e.pacer.RecordFailure()
 }
 
-// wait pauses, or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
