--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -15,6 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"merlinarch/internal/decide/usage"
 )
@@ -121,7 +122,7 @@
 		return err
 	})
 	switch {
-	case errors.Is(err, bolt.ErrTimeout):
+	case errors.Is(err, bolterrors.ErrTimeout):
 		return nil, nil, fmt.Errorf("ledger %s: %w", path, ErrInUse)
 	case err != nil:
 		return nil, nil, fmt.Errorf("ledger %s: %w", path, err)
