--- a/internal/ledger/counter.go
+++ b/internal/ledger/counter.go
@@ -13,18 +13,18 @@
 	"merlinarch/logic"
 )
 
-// Counter counts a router's final answers in a ledger. It is the client side's Accounts.
+// Counter counts a router's final answers in a ledger. It implements the Accounts interface of package clients.
 type Counter struct {
 	ledger        *Ledger
 	strict        bool
-	worthByClass  map[string]int64 // by class, millionths
+	worthByClass  map[string]int64 // in millionths
 	count         *metrics.Registry
 	log           *zap.Logger
-	failureLogged atomic.Bool // that the disk fails: once until it is well again
+	failureLogged atomic.Bool // the present failure of the disk has been logged
 }
 
-// NewCounter makes a counter. Strict: while the disk fails nothing new is taken; else answers go out uncounted, which
-// is counted and said.
+// NewCounter returns a counter. While the disk fails, a strict counter refuses new requests; any other lets answers go out
+// uncounted, which is counted and logged.
 func NewCounter(l *Ledger, s logic.Settings, strict bool, count *metrics.Registry, log *zap.Logger) *Counter {
 	c := &Counter{ledger: l, strict: strict, worthByClass: map[string]int64{}, count: count, log: log}
 	for _, class := range s.Classes {
@@ -33,10 +33,11 @@
 	return c
 }
 
+// outcomes maps the status of an answer to its outcome in the accounts.
 var outcomes = map[exchange.Status]usage.Outcome{exchange.Served: usage.Served, exchange.Refused: usage.Refused,
 	exchange.Failed: usage.Failed, exchange.TimedOut: usage.Failed}
 
-// Count makes an answer's use durable.
+// Count makes the use of an answer durable. The caller calls written once the answer's last byte has been written.
 func (c *Counter) Count(ctx context.Context, f exchange.Fields, a exchange.Answer) (written func()) {
 	u := usage.Use{Tenant: f.Tenant, Class: f.Class, Outcome: outcomes[a.Status], Attempts: int64(a.Attempts), Work: f.ExpectedWork}
 	if a.Status == exchange.Served {
@@ -54,8 +55,9 @@
 	if !c.failureLogged.Swap(true) {
 		c.log.Error("answers go out uncounted", zap.Error(err), zap.String("tenant", f.Tenant), zap.String("class", f.Class))
 	}
-	return func() { c.ledger.Confirm(serial) } // it may have become durable after all
+	return func() { c.ledger.Confirm(serial) } // the use may have become durable in spite of the error
 }
 
-// Refusing tells that the disk fails and that nothing is to go out uncounted. The ledger tries the disk by itself.
+// Refusing reports whether to refuse new requests because the disk fails and no answer may go out uncounted. The ledger
+// finds out by itself when the disk works again.
 func (c *Counter) Refusing() bool { return c.strict && c.ledger.WriteError() != nil }
