--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -51,7 +51,7 @@
 		return exitOK
 	}
 	fmt.Fprintf(errOut, "merlinarch registrar: %v\n", err)
-	for _, e := range []error{registrar.ErrLost, registrar.ErrRemoved, registrar.ErrNoDisk, registrar.ErrSpoilt} {
+	for _, e := range []error{registrar.ErrStaleStore, registrar.ErrRemoved, registrar.ErrNoStore, registrar.ErrCorrupt} {
 		if errors.Is(err, e) {
 			return exitReplace
 		}
@@ -87,9 +87,9 @@
 		return registrar.Options{}, fmt.Errorf("%s: accord.registrars: expected one named %q", o.settings, o.name)
 	}
 	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.LeaseTerms(),
-		Budget: cordon.Budget{Share: a.Budget}, Cold: a.ColdTime, Planned: a.ScheduleSettings(),
-		Unix: func() time.Time { return time.Now().Add(a.ClockStep) }, Clock: accord.Clock{Rate: a.ClockRate},
-		Auto: cordon.AutoPolicy{MinDispatchers: a.Auto.MinAgreeing, MaxCordons: a.Auto.MaxCordons, ErrorShare: a.Auto.ErrorShare, MinAnswers: a.Auto.MinAnswers}}, nil
+		Budget: cordon.Budget{Share: a.Budget}, SlowStart: a.ColdTime, Schedule: a.ScheduleSettings(),
+		WallClock: func() time.Time { return time.Now().Add(a.ClockStep) }, Clock: accord.Clock{Rate: a.ClockRate},
+		AutoCordon: cordon.AutoPolicy{MinDispatchers: a.Auto.MinAgreeing, MaxCordons: a.Auto.MaxCordons, ErrorShare: a.Auto.ErrorShare, MinAnswers: a.Auto.MinAnswers}}, nil
 }
 
 func initCommand() *cobra.Command {
--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -34,7 +34,7 @@
 	running atomic.Pointer[node] // nil until it takes part
 
 	mu    sync.Mutex
-	marks map[uint64]Mark // as they were at the start, and as hellos brought them
+	marks map[uint64]Watermark // as they were at the start, and as hellos brought them
 }
 
 func (f *front) routes() http.Handler {
@@ -158,10 +158,10 @@
 		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
 		return accord.NewProblem(accord.CodeWrong, "no registrar of this name is known")
 	}
-	var m Mark
+	var m Watermark
 	if f.running.Load() != nil {
 		switch v := f.wait(r, func(reply func(any)) any { return greeted{h, reply} }).(type) {
-		case Mark:
+		case Watermark:
 			m = v
 		default:
 			return v
@@ -179,7 +179,7 @@
 		}
 	}
 	written := make(chan error, 1)
-	f.disk.put(toStore{batch: batch{marks: map[uint64]Mark{h.ID: m}}, finished: func(err error) { written <- err }})
+	f.disk.put(toStore{batch: batch{marks: map[uint64]Watermark{h.ID: m}}, finished: func(err error) { written <- err }})
 	select {
 	case err := <-written:
 		if err == nil {
@@ -192,12 +192,12 @@
 }
 
 // greet holds what a registrar tells at its start against what it was seen to promise.
-func (m Mark) greet(h Hello) (Mark, *accord.Problem) {
-	if h.Boots < m.Boots || h.Boots == m.Boots && m.Start != "" && h.Start != m.Start || h.Last < m.Match || h.Term < m.Term {
+func (m Watermark) greet(h Hello) (Watermark, *accord.Problem) {
+	if h.Boots < m.Boots || h.Boots == m.Boots && m.StartToken != "" && h.StartToken != m.StartToken || h.LastIndex < m.Match || h.Term < m.Term {
 		return m, accord.NewProblem(codeLost, fmt.Sprintf("its disk tells of start %d, entry %d and term %d; seen were %d, %d and %d",
-			h.Boots, h.Last, h.Term, m.Boots, m.Match, m.Term))
+			h.Boots, h.LastIndex, h.Term, m.Boots, m.Match, m.Term))
 	}
-	m.Boots, m.Start = h.Boots, h.Start // the same start may ask again
+	m.Boots, m.StartToken = h.Boots, h.StartToken // the same start may ask again
 	return m, nil
 }
 
@@ -260,7 +260,7 @@
 }
 
 func (f *front) members(r *http.Request) any {
-	var m Members
+	var m MembershipChange
 	if wrong := f.take(r, accord.MaxBody, &m, &m.Cluster); wrong != nil {
 		return wrong
 	}
--- a/internal/registrar/members.go
+++ b/internal/registrar/members.go
@@ -12,7 +12,7 @@
 )
 
 // Members asks for a change of the registrars, one at a time.
-type Members struct {
+type MembershipChange struct {
 	Cluster string `json:"cluster"`
 	Name    string `json:"name"`
 	Addr    string `json:"address,omitempty"` // empty: it is taken out
@@ -21,7 +21,7 @@
 
 // memberChangeOf makes the change that the library agrees on. One that takes another's place under its name comes in the
 // same step in which that one goes: between the two, no majority is ever counted with both.
-func (n *node) memberChangeOf(m Members) (*pb.ConfChangeV2, *accord.Problem) {
+func (n *node) memberChangeOf(m MembershipChange) (*pb.ConfChangeV2, *accord.Problem) {
 	was, there := n.state.Registrars[m.Name]
 	c := &pb.ConfChangeV2{}
 	add := func(t pb.ConfChangeType, id uint64) {
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -51,8 +51,8 @@
 	// The registrars have changed since the last snapshot. Danger: one that joins is sent the last one, and takes no
 	// record that does not name it.
 	confChanged bool
-	marks       map[uint64]Mark // as they will be on the disk
-	marked      bool            // they have changed
+	marks       map[uint64]Watermark // as they will be on the disk
+	marked      bool                 // they have changed
 
 	term    uint64
 	lead    uint64
@@ -132,7 +132,7 @@
 		reply func(any) // a statemachine.Result, or a *accord.Problem
 	}
 	change struct { // of the registrars
-		members Members
+		members MembershipChange
 		reply   func(any)
 	}
 	transfer struct{}
@@ -159,7 +159,7 @@
 
 func newNode(o Options, s *store, out *peers, in *mailbox[any], toDisk *mailbox[toStore], set *metrics.Set, log *zap.Logger) (*node, error) {
 	n := &node{opts: o, id: s.id, inbox: in, store: toDisk, peers: out, log: log, set: set, waiting: map[string]func(any){},
-		state: statemachine.New(o.Budget, o.Cold.Milliseconds())}
+		state: statemachine.New(o.Budget, o.SlowStart.Milliseconds())}
 	snap, err := s.mem.Snapshot()
 	if err != nil {
 		return nil, err
@@ -515,7 +515,7 @@
 		if b.Reports != nil {
 			n.reports[b.Name] = cordon.AccumulateEvidence(n.reports[b.Name], b.Reports)
 		}
-		n.clocks[b.Name] = time.UnixMilli(b.Unix).Sub(n.opts.Unix())
+		n.clocks[b.Name] = time.UnixMilli(b.Unix).Sub(n.opts.WallClock())
 		if len(b.Met) > 0 {
 			n.met[b.Name] = evidence{a.at, b.Met}
 		}
@@ -669,13 +669,13 @@
 			met[name] = e.met
 		}
 	}
-	return statemachine.LeaderView{Leases: n.roll, Now: now, ListServers: n.listed, Reports: reports, AutoCordon: n.opts.Auto, Elapsed: now - n.counted,
-		SiteStates: contact.MergeEvidence(met), UnixMs: n.unix(), Schedule: n.opts.Planned}
+	return statemachine.LeaderView{Leases: n.roll, Now: now, ListServers: n.listed, Reports: reports, AutoCordon: n.opts.AutoCordon, Elapsed: now - n.counted,
+		SiteStates: contact.MergeEvidence(met), UnixMs: n.unix(), Schedule: n.opts.Schedule}
 }
 
 // unix is the wall clock that the record goes by, in ms.
 func (n *node) unix() int64 {
-	return n.opts.Unix().Add(lease.MedianOffset(slices.Collect(maps.Values(n.clocks)))).UnixMilli()
+	return n.opts.WallClock().Add(lease.MedianOffset(slices.Collect(maps.Values(n.clocks)))).UnixMilli()
 }
 
 // dueNow puts what is due before the others.
--- a/internal/registrar/task.go
+++ b/internal/registrar/task.go
@@ -54,7 +54,7 @@
 		if len(work) == 0 {
 			continue
 		}
-		b := batch{marks: map[uint64]Mark{}}
+		b := batch{marks: map[uint64]Watermark{}}
 		for _, w := range work {
 			if w.append != nil {
 				b.messages = append(b.messages, w.append)
