--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -21,28 +21,28 @@
 )
 
 // front is the registrar's HTTP: each request is a session of its own, which asks the node and waits.
-type front struct {
-	opts  Options
-	id    Identity
-	store *store
-	node  *mailbox[any]
-	disk  *mailbox[toStore]
-	set   *metrics.Set
-	log   *zap.Logger
-	ended chan struct{} // closed when the registrar ends
+type frontend struct {
+	opts       Options
+	id         Identity
+	store      *store
+	nodeInbox  *mailbox[any]
+	storeInbox *mailbox[storeRequest]
+	counters   *metrics.Set
+	log        *zap.Logger
+	stopped    chan struct{} // closed when the registrar ends
 
 	running atomic.Pointer[node] // nil until it takes part
 
-	mu    sync.Mutex
-	marks map[uint64]Watermark // as they were at the start, and as hellos brought them
+	mu         sync.Mutex
+	watermarks map[uint64]Watermark // as they were at the start, and as hellos brought them
 }
 
-func (f *front) routes() http.Handler {
+func (f *frontend) routes() http.Handler {
 	mux := http.NewServeMux()
-	post := func(path string, most int64, h func(r *http.Request) any) {
+	post := func(path string, maxBytes int64, h func(r *http.Request) any) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			r.Body = http.MaxBytesReader(w, r.Body, most)
-			f.answer(w, h(r))
+			r.Body = http.MaxBytesReader(w, r.Body, maxBytes)
+			f.writeAnswer(w, h(r))
 		})
 	}
 	post(pathRaft, maxRaftBody, f.raft)
@@ -52,26 +52,26 @@
 	post(accord.PathAsk, accord.MaxBody, f.change)
 	post(accord.PathRetire, accord.MaxBody, f.retire)
 	post(accord.PathMembers, accord.MaxBody, f.members)
-	mux.HandleFunc("GET "+accord.PathWatch, func(w http.ResponseWriter, r *http.Request) { f.answer(w, f.watch(r)) })
-	mux.HandleFunc("GET "+accord.PathStatus, func(w http.ResponseWriter, r *http.Request) { f.answer(w, f.status(r)) })
-	mux.HandleFunc("GET "+accord.PathVersion, func(w http.ResponseWriter, r *http.Request) { f.answer(w, f.version(r)) })
-	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { f.set.WritePrometheus(w) })
+	mux.HandleFunc("GET "+accord.PathWatch, func(w http.ResponseWriter, r *http.Request) { f.writeAnswer(w, f.watch(r)) })
+	mux.HandleFunc("GET "+accord.PathStatus, func(w http.ResponseWriter, r *http.Request) { f.writeAnswer(w, f.status(r)) })
+	mux.HandleFunc("GET "+accord.PathVersion, func(w http.ResponseWriter, r *http.Request) { f.writeAnswer(w, f.version(r)) })
+	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { f.counters.WritePrometheus(w) })
 	return mux
 }
 
 // answer writes an answer, and counts what was refused.
-func (f *front) answer(w http.ResponseWriter, v any) {
+func (f *frontend) writeAnswer(w http.ResponseWriter, v any) {
 	if p, ok := v.(*accord.Problem); ok {
-		f.set.GetOrCreateCounter(`registrar_refused_total{code="` + p.Code + `"}`).Inc()
+		f.counters.GetOrCreateCounter(`registrar_refused_total{code="` + p.Code + `"}`).Inc()
 	}
 	accord.Write(w, v)
 }
 
 // take reads a body and holds its cluster against this one's.
-func (f *front) take(r *http.Request, most int64, into any, cluster *string) *accord.Problem {
-	switch err := accord.Read(r, most, into); {
+func (f *frontend) readBody(r *http.Request, maxBytes int64, into any, cluster *string) *accord.Problem {
+	switch err := accord.Read(r, maxBytes, into); {
 	case errors.Is(err, accord.ErrSpoilt):
-		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="spoilt"}`).Inc()
+		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="spoilt"}`).Inc()
 		return accord.NewProblem(accord.CodeWrong, err.Error())
 	case err != nil:
 		return accord.NewProblem(accord.CodeWrong, err.Error())
@@ -81,97 +81,97 @@
 	return nil
 }
 
-var notYet = accord.NewProblem(accord.CodeBusy, "this registrar does not take part yet")
+var notRunning = accord.NewProblem(accord.CodeBusy, "this registrar does not take part yet")
 
 // wait puts a question to the node and waits for its answer.
-func (f *front) wait(r *http.Request, ask func(reply func(any)) any) any {
+func (f *frontend) askNode(r *http.Request, ask func(reply func(any)) any) any {
 	if f.running.Load() == nil {
-		return notYet
+		return notRunning
 	}
-	got := make(chan any, 1)
-	f.node.put(ask(func(v any) {
+	answers := make(chan any, 1)
+	f.nodeInbox.put(ask(func(v any) {
 		select {
-		case got <- v:
+		case answers <- v:
 		default: // it was answered already
 		}
 	}))
-	patience := time.NewTimer(f.opts.Terms.Length)
-	defer patience.Stop()
+	timeout := time.NewTimer(f.opts.Terms.Length)
+	defer timeout.Stop()
 	select {
-	case v := <-got:
+	case v := <-answers:
 		return v
 	case <-r.Context().Done():
-	case <-f.ended:
-	case <-patience.C:
+	case <-f.stopped:
+	case <-timeout.C:
 	}
 	return accord.NewProblem(accord.CodeBusy, "no agreement in time: it may come about yet; ask again with the same key")
 }
 
 // raft takes another registrar's messages.
-func (f *front) raft(r *http.Request) any {
-	var p parcel
-	if wrong := f.take(r, maxRaftBody, &p, &p.Cluster); wrong != nil {
+func (f *frontend) raft(r *http.Request) any {
+	var batch raftBatch
+	if wrong := f.readBody(r, maxRaftBody, &batch, &batch.Cluster); wrong != nil {
 		return wrong
 	}
 	n := f.running.Load()
 	if n == nil {
-		return notYet
+		return notRunning
 	}
-	gone := n.shown.Load().gone
+	formerIDs := n.published.Load().formerIDs
 	switch {
-	case slices.Contains(gone, p.FromID):
+	case slices.Contains(formerIDs, batch.FromID):
 		return accord.NewProblem(accord.CodeGone, "this registrar was replaced")
-	case p.ToID != f.id.ID:
-		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="not_for_this_disk"}`).Inc()
+	case batch.ToID != f.id.ID:
+		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="not_for_this_disk"}`).Inc()
 		return accord.NewProblem(accord.CodeWrong, "for another disk than this one")
-	case !f.known(n, p.From):
-		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
+	case !f.isKnownRegistrar(n, batch.From):
+		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
 		return accord.NewProblem(accord.CodeWrong, "no registrar of this name is known")
 	}
-	in := received{from: p.From, id: p.FromID, boots: p.Boots}
-	for _, text := range p.Messages {
+	messages := raftMessages{fromName: batch.From, fromID: batch.FromID, boots: batch.Boots}
+	for _, text := range batch.Messages {
 		m := &pb.Message{}
-		if err := proto.Unmarshal(text, m); err != nil || m.GetFrom() != p.FromID || m.GetTo() != f.id.ID {
-			f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="unreadable"}`).Inc()
+		if err := proto.Unmarshal(text, m); err != nil || m.GetFrom() != batch.FromID || m.GetTo() != f.id.ID {
+			f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="unreadable"}`).Inc()
 			return accord.NewProblem(accord.CodeWrong, "a message that can't be")
 		}
-		in.messages = append(in.messages, m)
+		messages.messages = append(messages.messages, m)
 	}
-	f.node.put(in)
+	f.nodeInbox.put(messages)
 	return struct{}{}
 }
 
-func (f *front) known(n *node, name string) bool {
-	_, set := f.opts.Registrars[name]
-	_, there := n.shown.Load().registrars[name]
-	return set || there
+func (f *frontend) isKnownRegistrar(n *node, name string) bool {
+	_, configured := f.opts.Registrars[name]
+	_, isMember := n.published.Load().registrars[name]
+	return configured || isMember
 }
 
 // hello tells a registrar that starts whether its disk is the one it had. What it tells of itself is on this disk before
 // it is answered.
-func (f *front) hello(r *http.Request) any {
+func (f *frontend) hello(r *http.Request) any {
 	var h Hello
-	if wrong := f.take(r, accord.MaxBody, &h, &h.Cluster); wrong != nil {
+	if wrong := f.readBody(r, accord.MaxBody, &h, &h.Cluster); wrong != nil {
 		return wrong
 	}
 	if _, ok := f.opts.Registrars[h.Name]; !ok {
-		f.set.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
+		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
 		return accord.NewProblem(accord.CodeWrong, "no registrar of this name is known")
 	}
-	var m Watermark
+	var watermark Watermark
 	if f.running.Load() != nil {
-		switch v := f.wait(r, func(reply func(any)) any { return greeted{h, reply} }).(type) {
+		switch v := f.askNode(r, func(reply func(any)) any { return helloRequest{h, reply} }).(type) {
 		case Watermark:
-			m = v
+			watermark = v
 		default:
 			return v
 		}
 	} else { // this one starts as well: what it knows is what was on its disk
 		var p *accord.Problem
 		f.mu.Lock()
-		m, p = f.marks[h.ID].greet(h)
+		watermark, p = f.watermarks[h.ID].verify(h)
 		if p == nil {
-			f.marks[h.ID] = m
+			f.watermarks[h.ID] = watermark
 		}
 		f.mu.Unlock()
 		if p != nil {
@@ -179,38 +179,38 @@
 		}
 	}
 	written := make(chan error, 1)
-	f.disk.put(toStore{batch: batch{marks: map[uint64]Watermark{h.ID: m}}, finished: func(err error) { written <- err }})
+	f.storeInbox.put(storeRequest{batch: batch{watermarks: map[uint64]Watermark{h.ID: watermark}}, finished: func(err error) { written <- err }})
 	select {
 	case err := <-written:
 		if err == nil {
 			return struct{}{}
 		}
 	case <-r.Context().Done():
-	case <-f.ended:
+	case <-f.stopped:
 	}
-	return notYet
+	return notRunning
 }
 
 // greet holds what a registrar tells at its start against what it was seen to promise.
-func (m Watermark) greet(h Hello) (Watermark, *accord.Problem) {
+func (m Watermark) verify(h Hello) (Watermark, *accord.Problem) {
 	if h.Boots < m.Boots || h.Boots == m.Boots && m.StartToken != "" && h.StartToken != m.StartToken || h.LastIndex < m.Match || h.Term < m.Term {
-		return m, accord.NewProblem(codeLost, fmt.Sprintf("its disk tells of start %d, entry %d and term %d; seen were %d, %d and %d",
+		return m, accord.NewProblem(codeStaleStore, fmt.Sprintf("its disk tells of start %d, entry %d and term %d; seen were %d, %d and %d",
 			h.Boots, h.LastIndex, h.Term, m.Boots, m.Match, m.Term))
 	}
 	m.Boots, m.StartToken = h.Boots, h.StartToken // the same start may ask again
 	return m, nil
 }
 
-func (f *front) enrol(r *http.Request) any {
+func (f *frontend) enrol(r *http.Request) any {
 	var e accord.Enrol
-	if wrong := f.take(r, accord.MaxBody, &e, &e.Cluster); wrong != nil {
+	if wrong := f.readBody(r, accord.MaxBody, &e, &e.Cluster); wrong != nil {
 		return wrong
 	}
 	if e.Terms != f.opts.Terms {
 		return accord.NewProblem(accord.CodeTerms, "lease, beat, send or drift are set otherwise at this registrar")
 	}
-	v := f.wait(r, func(reply func(any)) any {
-		return propose{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, KnownKinds: e.Knows, Site: e.Site}}, reply}
+	v := f.askNode(r, func(reply func(any)) any {
+		return proposal{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, KnownKinds: e.Knows, Site: e.Site}}, reply}
 	})
 	if res, ok := v.(statemachine.Result); ok {
 		if res.Refused != "" {
@@ -221,34 +221,34 @@
 	return v
 }
 
-func (f *front) beat(r *http.Request) any {
+func (f *frontend) beat(r *http.Request) any {
 	at := f.opts.Clock.Now()
 	var b accord.Beat
-	if wrong := f.take(r, accord.MaxBody, &b, &b.Cluster); wrong != nil {
+	if wrong := f.readBody(r, accord.MaxBody, &b, &b.Cluster); wrong != nil {
 		return wrong
 	}
-	return f.wait(r, func(reply func(any)) any { return &asked{at: at, beat: &b, reply: reply} })
+	return f.askNode(r, func(reply func(any)) any { return &readRequest{receivedAt: at, beat: &b, reply: reply} })
 }
 
-func (f *front) change(r *http.Request) any {
+func (f *frontend) change(r *http.Request) any {
 	var a accord.Ask
-	if wrong := f.take(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
+	if wrong := f.readBody(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
 		return wrong
 	}
-	v := f.wait(r, func(reply func(any)) any { return propose{statemachine.Entry{Ask: &a.ChangeRequest}, reply} })
+	v := f.askNode(r, func(reply func(any)) any { return proposal{statemachine.Entry{Ask: &a.ChangeRequest}, reply} })
 	if res, ok := v.(statemachine.Result); ok {
 		return res.Answer
 	}
 	return v
 }
 
-func (f *front) retire(r *http.Request) any {
+func (f *frontend) retire(r *http.Request) any {
 	var q accord.Retire
-	if wrong := f.take(r, accord.MaxBody, &q, &q.Cluster); wrong != nil {
+	if wrong := f.readBody(r, accord.MaxBody, &q, &q.Cluster); wrong != nil {
 		return wrong
 	}
-	v := f.wait(r, func(reply func(any)) any {
-		return propose{statemachine.Entry{Retire: &statemachine.Retire{Name: q.Name, Author: q.Author, Reason: q.Reason, Forced: q.Forced}}, reply}
+	v := f.askNode(r, func(reply func(any)) any {
+		return proposal{statemachine.Entry{Retire: &statemachine.Retire{Name: q.Name, Author: q.Author, Reason: q.Reason, Forced: q.Forced}}, reply}
 	})
 	if res, ok := v.(statemachine.Result); ok {
 		if res.Refused != "" {
@@ -259,12 +259,12 @@
 	return v
 }
 
-func (f *front) members(r *http.Request) any {
+func (f *frontend) members(r *http.Request) any {
 	var m MembershipChange
-	if wrong := f.take(r, accord.MaxBody, &m, &m.Cluster); wrong != nil {
+	if wrong := f.readBody(r, accord.MaxBody, &m, &m.Cluster); wrong != nil {
 		return wrong
 	}
-	v := f.wait(r, func(reply func(any)) any { return change{m, reply} })
+	v := f.askNode(r, func(reply func(any)) any { return membershipRequest{m, reply} })
 	if _, ok := v.(statemachine.Result); ok {
 		return struct{}{}
 	}
@@ -272,7 +272,7 @@
 }
 
 // watch brings the newest version once it is newer than the one that the asker has.
-func (f *front) watch(r *http.Request) any {
+func (f *frontend) watch(r *http.Request) any {
 	q := r.URL.Query()
 	if q.Get("cluster") != f.opts.Cluster {
 		return accord.NewProblem(accord.CodeCluster, "this is a registrar of cluster "+f.opts.Cluster)
@@ -283,36 +283,36 @@
 	}
 	n := f.running.Load()
 	if n == nil {
-		return notYet
+		return notRunning
 	}
-	f.set.GetOrCreateCounter("registrar_watches_total").Inc()
-	patience := time.NewTimer(accord.WatchFor)
-	defer patience.Stop()
+	f.counters.GetOrCreateCounter("registrar_watches_total").Inc()
+	timeout := time.NewTimer(accord.WatchFor)
+	defer timeout.Stop()
 	for {
-		s := n.shown.Load()
+		s := n.published.Load()
 		if s.document.Head.Version > after {
 			return accord.News{Cluster: f.opts.Cluster, Document: &s.document}
 		}
 		select {
-		case <-s.next:
-		case <-patience.C:
+		case <-s.replaced:
+		case <-timeout.C:
 			return accord.News{Cluster: f.opts.Cluster}
 		case <-r.Context().Done():
 			return accord.News{Cluster: f.opts.Cluster}
-		case <-f.ended:
+		case <-f.stopped:
 			return accord.NewProblem(accord.CodeBusy, "the registrar ends")
 		}
 	}
 }
 
-func (f *front) status(r *http.Request) any {
+func (f *frontend) status(r *http.Request) any {
 	if r.URL.Query().Has("local") { // of this registrar alone, also without a leader
 		if n := f.running.Load(); n != nil {
-			return n.shown.Load().state
+			return n.published.Load().role
 		}
 		return accord.Role{Name: f.id.Name}
 	}
-	return f.wait(r, func(reply func(any)) any { return &asked{at: f.opts.Clock.Now(), reply: reply} })
+	return f.askNode(r, func(reply func(any)) any { return &readRequest{receivedAt: f.opts.Clock.Now(), reply: reply} })
 }
 
 // status is called once leadership is proved.
@@ -320,43 +320,43 @@
 	if !n.leading {
 		return n.notLeader()
 	}
-	w := n.watch()
+	view := n.leaderView()
 	d := n.state.Book.Document
-	s := accord.Status{Cluster: n.opts.Cluster, Role: n.shown.Load().state, Head: d.Head, Bound: n.opts.Terms.StalenessBound().String(), Rules: d.Rules,
-		Waiting: d.Pending, Work: n.state.Dispatches, Sites: n.state.SiteStatuses(n.unix()), Cordons: n.state.Cordons(w), Registrars: n.state.Registrars}
-	for site, d := range n.state.StalenessBounds(n.opts.Terms, n.unix()) {
-		if s.Bounds == nil {
-			s.Bounds = map[string]string{}
+	status := accord.Status{Cluster: n.opts.Cluster, Role: n.published.Load().role, Head: d.Head, Bound: n.opts.Terms.StalenessBound().String(), Rules: d.Rules,
+		Waiting: d.Pending, Work: n.state.Dispatches, Sites: n.state.SiteStatuses(n.unixMs()), Cordons: n.state.Cordons(view), Registrars: n.state.Registrars}
+	for site, d := range n.state.StalenessBounds(n.opts.Terms, n.unixMs()) {
+		if status.Bounds == nil {
+			status.Bounds = map[string]string{}
 		}
-		s.Bounds[site] = d.String()
+		status.Bounds[site] = d.String()
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.state.Members)) {
 		m := n.state.Members[name]
 		if m.Incarnation == 0 {
 			continue
 		}
-		at, holds, heard := n.roll.LastBeat(name, m.Incarnation)
-		x := accord.Dispatcher{Name: name, Life: m.Incarnation, Mode: m.Mode, Heard: heard, Holds: holds, Unknown: n.unknown[name]}
+		at, holds, heard := n.leases.LastBeat(name, m.Incarnation)
+		dispatcher := accord.Dispatcher{Name: name, Life: m.Incarnation, Mode: m.Mode, Heard: heard, Holds: holds, Unknown: n.unknownKinds[name]}
 		if heard {
-			x.Ago = (w.Now - at).Round(time.Millisecond).String()
+			dispatcher.Ago = (view.Now - at).Round(time.Millisecond).String()
 		}
-		s.Dispatchers = append(s.Dispatchers, x)
+		status.Dispatchers = append(status.Dispatchers, dispatcher)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Rules.Expected)) {
 		if m, ok := n.state.Members[name]; !ok || m.Incarnation == 0 {
-			s.Expected = append(s.Expected, name)
+			status.Expected = append(status.Expected, name)
 		}
 	}
-	return s
+	return status
 }
 
 // version reads the history back, from a version on, from this registrar's disk.
-func (f *front) version(r *http.Request) any {
+func (f *frontend) version(r *http.Request) any {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		return accord.NewProblem(accord.CodeWrong, "from: expected a version")
 	}
-	steps, err := f.store.steps(from, stepsTogether)
+	steps, err := f.store.steps(from, maxStepsPerRead)
 	if err != nil {
 		return accord.NewProblem(accord.CodeWrong, err.Error())
 	}
--- a/internal/registrar/members.go
+++ b/internal/registrar/members.go
@@ -21,79 +21,79 @@
 
 // memberChangeOf makes the change that the library agrees on. One that takes another's place under its name comes in the
 // same step in which that one goes: between the two, no majority is ever counted with both.
-func (n *node) memberChangeOf(m MembershipChange) (*pb.ConfChangeV2, *accord.Problem) {
-	was, there := n.state.Registrars[m.Name]
-	c := &pb.ConfChangeV2{}
+func (n *node) newConfChange(m MembershipChange) (*pb.ConfChangeV2, *accord.Problem) {
+	current, isMember := n.state.Registrars[m.Name]
+	confChange := &pb.ConfChangeV2{}
 	add := func(t pb.ConfChangeType, id uint64) {
-		c.Changes = append(c.Changes, &pb.ConfChangeSingle{Type: t.Enum(), NodeId: proto.Uint64(id)})
+		confChange.Changes = append(confChange.Changes, &pb.ConfChangeSingle{Type: t.Enum(), NodeId: proto.Uint64(id)})
 	}
-	if there {
-		add(pb.ConfChangeRemoveNode, was.ID)
+	if isMember {
+		add(pb.ConfChangeRemoveNode, current.ID)
 	}
 	switch {
-	case m.Addr == "" && !there:
+	case m.Addr == "" && !isMember:
 		return nil, accord.NewProblem(accord.CodeGone, "no such registrar")
 	case m.Addr == "" && len(n.state.Registrars) == 1:
 		return nil, accord.NewProblem(accord.CodeWrong, "the last registrar can't go")
 	case m.Addr == "":
-		m.ID = was.ID
-	case m.Name == "" || m.ID == 0 || there && m.ID == was.ID:
+		m.ID = current.ID
+	case m.Name == "" || m.ID == 0 || isMember && m.ID == current.ID:
 		return nil, accord.NewProblem(accord.CodeWrong, "expected a name, an address and the identity of a new disk")
 	default:
 		add(pb.ConfChangeAddNode, m.ID)
 	}
-	n.serial++
-	text, err := json.Marshal(memberChange{Ref: fmt.Sprintf("%x-%d-%d", n.id.ID, n.id.Boots, n.serial), Name: m.Name, Addr: m.Addr, ID: m.ID})
+	n.lastRef++
+	text, err := json.Marshal(confChangeContext{Ref: fmt.Sprintf("%x-%d-%d", n.id.ID, n.id.Boots, n.lastRef), Name: m.Name, Addr: m.Addr, ID: m.ID})
 	if err != nil {
 		return nil, accord.NewProblem(accord.CodeWrong, err.Error())
 	}
-	c.Context = text
-	return c, nil
+	confChange.Context = text
+	return confChange, nil
 }
 
 // changeMembers puts a change of the registrars before them.
-func (n *node) changeMembers(m change) {
+func (n *node) proposeMembershipChange(m membershipRequest) {
 	switch {
 	case !n.leading:
 		m.reply(n.notLeader())
 		return
-	case !n.settled:
+	case !n.appliedOwnTerm:
 		m.reply(accord.NewProblem(accord.CodeBusy, "the leader has just been chosen"))
 		return
 	}
-	c, p := n.memberChangeOf(m.members)
+	confChange, p := n.newConfChange(m.change)
 	if p != nil {
 		m.reply(p)
 		return
 	}
-	if err := n.rn.ProposeConfChange(c); err != nil {
+	if err := n.rawNode.ProposeConfChange(confChange); err != nil {
 		m.reply(accord.NewProblem(accord.CodeBusy, err.Error()))
 		return
 	}
-	var told memberChange
-	if json.Unmarshal(c.Context, &told) == nil {
-		n.waiting[told.Ref] = m.reply
+	var context confChangeContext
+	if json.Unmarshal(confChange.Context, &context) == nil {
+		n.replies[context.Ref] = m.reply
 	}
 }
 
 // carryOutChange takes an agreed change of the registrars in.
-func (n *node) carryOutChange(e *pb.Entry) {
-	var c pb.ConfChangeV2
-	if e.GetType() != pb.EntryConfChangeV2 || proto.Unmarshal(e.Data, &c) != nil {
+func (n *node) applyMembershipChange(e *pb.Entry) {
+	var confChange pb.ConfChangeV2
+	if e.GetType() != pb.EntryConfChangeV2 || proto.Unmarshal(e.Data, &confChange) != nil {
 		n.inbox.put(failure{fmt.Errorf("entry %d of the log: a change of registrars that can't be read", e.GetIndex())})
 		return
 	}
-	n.conf, n.confChanged = n.rn.ApplyConfChange(&c), true
-	if len(c.Context) == 0 { // the library leaves a joint configuration
+	n.confState, n.confChanged = n.rawNode.ApplyConfChange(&confChange), true
+	if len(confChange.Context) == 0 { // the library leaves a joint configuration
 		return
 	}
-	var told memberChange
-	if err := json.Unmarshal(c.Context, &told); err != nil {
+	var context confChangeContext
+	if err := json.Unmarshal(confChange.Context, &context); err != nil {
 		n.inbox.put(failure{fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)})
 		return
 	}
-	n.state.ReplaceRegistrar(told.Name, statemachine.Registrar{ID: told.ID, Addr: told.Addr})
-	n.peers.use(n.state.Registrars)
-	n.show()
-	n.answer(told.Ref, statemachine.Result{})
+	n.state.ReplaceRegistrar(context.Name, statemachine.Registrar{ID: context.ID, Addr: context.Addr})
+	n.peers.update(n.state.Registrars)
+	n.publish()
+	n.reply(context.Ref, statemachine.Result{})
 }
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -26,121 +26,121 @@
 )
 
 const (
-	snapshotEvery = 1000 // entries carried out since the last one
-	keptEntries   = 2000 // before a snapshot, for registrars that are a little behind
-	maxProposals  = 1024 // that wait for agreement; beyond, askers are told to come back
-	maxBeats      = 8192 // that wait for a proof of leadership
+	snapshotInterval = 1000 // entries carried out since the last one
+	keptLogEntries   = 2000 // before a snapshot, for registrars that are a little behind
+	maxProposals     = 1024 // that wait for agreement; beyond, askers are told to come back
+	maxQueuedReads   = 8192 // that wait for a proof of leadership
 )
 
 // node is the task that owns the raft node, the record and what this leader has heard. All else talks to it by messages.
 type node struct {
-	opts  Options
-	id    Identity
-	rn    *raft.RawNode
-	inbox *mailbox[any]
-	store *mailbox[toStore]
-	peers *peers
-	log   *zap.Logger
-	set   *metrics.Set
-
-	state     *statemachine.State
-	applied   uint64
-	lastTerm  uint64 // of the entry carried out last
-	conf      *pb.ConfState
-	snapIndex uint64
+	opts       Options
+	id         Identity
+	rawNode    *raft.RawNode
+	inbox      *mailbox[any]
+	storeInbox *mailbox[storeRequest]
+	peers      *peers
+	log        *zap.Logger
+	counters   *metrics.Set
+
+	state         *statemachine.State
+	appliedIndex  uint64
+	appliedTerm   uint64 // of the entry carried out last
+	confState     *pb.ConfState
+	snapshotIndex uint64
 	// The registrars have changed since the last snapshot. Danger: one that joins is sent the last one, and takes no
 	// record that does not name it.
-	confChanged bool
-	marks       map[uint64]Watermark // as they will be on the disk
-	marked      bool                 // they have changed
-
-	term    uint64
-	lead    uint64
-	leading bool
-	settled bool // an entry of the own term was carried out: the record is as new as any leader's
-	roll    *lease.Tracker
-	lists   map[string]list
-	reports map[string][]cordon.Evidence
-	unknown map[string][]string
-	met     map[string]evidence
-	clocks  map[string]time.Duration // by dispatcher: its wall clock's distance from this leader's
-	led     time.Duration            // since when
-	counted time.Duration            // time was last counted towards expiries
-	dirty   bool                     // what is due may have changed
-	due     int                      // entries that are on their way
-
-	serial  uint64
-	waiting map[string]func(any) // by reference of an entry
-	beats   []*asked             // that wait for the next proof
-	proving []*asked             // whose proof is under way
-	proofID uint64
-	proofAt time.Duration
-	proven  []proof // proved, and waiting until the record is as new
-
-	shown atomic.Pointer[shown]
+	confChanged       bool
+	watermarks        map[uint64]Watermark // as they will be on the disk
+	watermarksChanged bool                 // they have changed
+
+	term               uint64
+	leaderID           uint64
+	leading            bool
+	appliedOwnTerm     bool // an entry of the own term was carried out: the record is as new as any leader's
+	leases             *lease.Tracker
+	serverLists        map[string]serverList
+	hostEvidence       map[string][]cordon.Evidence
+	unknownKinds       map[string][]string
+	siteEvidence       map[string]siteReport
+	clockOffsets       map[string]time.Duration // by dispatcher: its wall clock's distance from this leader's
+	leaderSince        time.Duration            // since when
+	expiryCountedUntil time.Duration            // time was last counted towards expiries
+	dueMayHaveChanged  bool                     // what is due may have changed
+	dueInFlight        int                      // entries that are on their way
+
+	lastRef      uint64
+	replies      map[string]func(any) // by reference of an entry
+	queuedReads  []*readRequest       // that wait for the next proof
+	provingReads []*readRequest       // whose proof is under way
+	readIndexID  uint64
+	readIndexAt  time.Duration
+	provenReads  []provenBatch // proved, and waiting until the record is as new
+
+	published atomic.Pointer[view]
 }
 
 // list is a dispatcher's list of servers.
-type list struct {
-	sum     string
+type serverList struct {
+	digest  string
 	servers []cordon.Server
 }
 
 // evidence is what a dispatcher met at sites, and when it told.
-type evidence struct {
-	at  time.Duration
-	met []contact.Evidence
+type siteReport struct {
+	receivedAt time.Duration
+	evidence   []contact.Evidence
 }
 
 // shown is what other tasks may read: the newest version, and a channel that is closed when it is replaced.
-type shown struct {
+type view struct {
 	document   ruleset.Document
-	state      accord.Role
+	role       accord.Role
 	registrars map[string]statemachine.Registrar
-	gone       []uint64
-	next       chan struct{}
+	formerIDs  []uint64
+	replaced   chan struct{}
 }
 
 // Messages to the node.
 type (
-	received struct { // from another registrar
-		from     string
-		id       uint64
+	raftMessages struct { // from another registrar
+		fromName string
+		fromID   uint64
 		messages []*pb.Message
 		boots    uint64
 	}
-	stored  struct{ messages []*pb.Message } // answers of the store
-	failure struct{ err error }
-	tick    struct{}
-	sent    struct { // a snapshot, or that a registrar can't be reached
+	storeResponses struct{ messages []*pb.Message } // answers of the store
+	failure        struct{ err error }
+	tick           struct{}
+	sendResult     struct { // a snapshot, or that a registrar can't be reached
 		to       uint64
 		snapshot bool
 		ok       bool
 	}
-	asked struct { // needs proof that this registrar leads, and the record as of then
-		at     time.Duration
-		beat   *accord.Beat // nil: only the record
-		length time.Duration
-		reply  func(any)
+	readRequest struct { // needs proof that this registrar leads, and the record as of then
+		receivedAt  time.Duration
+		beat        *accord.Beat // nil: only the record
+		leaseLength time.Duration
+		reply       func(any)
 	}
-	greeted struct { // what another registrar tells of itself at its start
+	helloRequest struct { // what another registrar tells of itself at its start
 		hello Hello
 		reply func(any) // a Mark to write down, or a *accord.Problem
 	}
-	propose struct {
+	proposal struct {
 		entry statemachine.Entry
 		reply func(any) // a statemachine.Result, or a *accord.Problem
 	}
-	change struct { // of the registrars
-		members MembershipChange
-		reply   func(any)
+	membershipRequest struct { // of the registrars
+		change MembershipChange
+		reply  func(any)
 	}
-	transfer struct{}
+	leadershipTransfer struct{}
 )
 
-type proof struct {
+type provenBatch struct {
 	index uint64
-	for_  []*asked
+	reads []*readRequest
 }
 
 // envelope is an entry of the log.
@@ -150,41 +150,41 @@
 }
 
 // memberChange goes with a change of the registrars.
-type memberChange struct {
+type confChangeContext struct {
 	Ref  string `json:"ref"`
 	Name string `json:"name"`
 	Addr string `json:"address"` // empty: it goes
 	ID   uint64 `json:"id"`
 }
 
-func newNode(o Options, s *store, out *peers, in *mailbox[any], toDisk *mailbox[toStore], set *metrics.Set, log *zap.Logger) (*node, error) {
-	n := &node{opts: o, id: s.id, inbox: in, store: toDisk, peers: out, log: log, set: set, waiting: map[string]func(any){},
+func newNode(o Options, store *store, peers *peers, inbox *mailbox[any], storeInbox *mailbox[storeRequest], counters *metrics.Set, log *zap.Logger) (*node, error) {
+	n := &node{opts: o, id: store.id, inbox: inbox, storeInbox: storeInbox, peers: peers, log: log, counters: counters, replies: map[string]func(any){},
 		state: statemachine.New(o.Budget, o.SlowStart.Milliseconds())}
-	snap, err := s.mem.Snapshot()
+	snapshot, err := store.memory.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	n.conf = &pb.ConfState{}
-	if !raft.IsEmptySnap(snap) {
-		if n.state, err = decodeState(snap); err != nil {
+	n.confState = &pb.ConfState{}
+	if !raft.IsEmptySnap(snapshot) {
+		if n.state, err = decodeState(snapshot); err != nil {
 			return nil, err
 		}
-		n.applied, n.conf, n.snapIndex = snap.Metadata.GetIndex(), snap.Metadata.ConfState, snap.Metadata.GetIndex()
+		n.appliedIndex, n.confState, n.snapshotIndex = snapshot.Metadata.GetIndex(), snapshot.Metadata.ConfState, snapshot.Metadata.GetIndex()
 	}
-	if n.marks, err = s.marks(); err != nil {
+	if n.watermarks, err = store.watermarks(); err != nil {
 		return nil, err
 	}
-	n.rn, err = raft.NewRawNode(&raft.Config{ID: s.id.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: s.mem,
-		Applied: n.applied, AsyncStorageWrites: true, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 32 << 20,
-		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: quiet{log.Sugar()},
+	n.rawNode, err = raft.NewRawNode(&raft.Config{ID: store.id.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: store.memory,
+		Applied: n.appliedIndex, AsyncStorageWrites: true, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 32 << 20,
+		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: raftLogger{log.Sugar()},
 		// Danger: what a deposed leader judged by what it heard would reach the log through its successor.
 		DisableProposalForwarding: true})
 	if err != nil {
 		return nil, err
 	}
-	n.forgetHeard()
-	n.peers.use(n.state.Registrars)
-	n.show()
+	n.resetDispatcherReports()
+	n.peers.update(n.state.Registrars)
+	n.publish()
 	return n, nil
 }
 
@@ -200,12 +200,12 @@
 // run is the task. It ends with done, or when the registrar can't go on.
 func (n *node) run(done <-chan struct{}) error {
 	for {
-		for n.rn.HasReady() {
-			n.ready(n.rn.Ready())
+		for n.rawNode.HasReady() {
+			n.handleReady(n.rawNode.Ready())
 		}
-		n.prove()
-		n.dueNow()
-		if n.rn.HasReady() {
+		n.startReadIndex()
+		n.proposeDue()
+		if n.rawNode.HasReady() {
 			continue
 		}
 		select {
@@ -231,132 +231,132 @@
 	case failure:
 		return m.err
 	case tick:
-		n.rn.Tick()
-		n.dirty = true
-		if len(n.proving) > 0 && n.opts.Clock.Now()-n.proofAt > n.opts.Terms.Beat {
-			n.failBeats("leadership can't be proved: the others do not answer")
+		n.rawNode.Tick()
+		n.dueMayHaveChanged = true
+		if len(n.provingReads) > 0 && n.opts.Clock.Now()-n.readIndexAt > n.opts.Terms.Beat {
+			n.failReads("leadership can't be proved: the others do not answer")
 		}
-	case received:
+	case raftMessages:
 		if len(n.state.Registrars) == 0 {
-			n.peers.learn(m.from, m.id)
+			n.peers.addUnlisted(m.fromName, m.fromID)
 		}
 		for _, x := range m.messages {
-			n.see(x, m.boots)
-			if err := n.rn.Step(x); err != nil {
-				n.inc("messages_refused", "step")
+			n.recordWatermark(x, m.boots)
+			if err := n.rawNode.Step(x); err != nil {
+				n.countReason("messages_refused", "step")
 			}
 		}
-	case stored:
+	case storeResponses:
 		for _, x := range m.messages {
 			n.deliver(x)
 		}
-	case sent:
-		n.reported(m)
-	case *asked:
-		n.ask(m)
-	case greeted:
-		n.greeted(m)
-	case propose:
+	case sendResult:
+		n.reportSend(m)
+	case *readRequest:
+		n.queueRead(m)
+	case helloRequest:
+		n.handleHello(m)
+	case proposal:
 		n.propose(m.entry, m.reply)
-	case change:
-		n.changeMembers(m)
-	case transfer:
-		n.handOver()
+	case membershipRequest:
+		n.proposeMembershipChange(m)
+	case leadershipTransfer:
+		n.transferLeadership()
 	}
-	if n.removed() {
+	if n.isRemoved() {
 		return ErrRemoved
 	}
 	return nil
 }
 
 // greeted judges a registrar that starts.
-func (n *node) greeted(m greeted) {
+func (n *node) handleHello(m helloRequest) {
 	if slices.Contains(n.state.FormerRegistrarIDs, m.hello.ID) {
 		m.reply(accord.NewProblem(accord.CodeGone, "this registrar was replaced"))
 		return
 	}
-	mark, p := n.marks[m.hello.ID].greet(m.hello)
+	mark, p := n.watermarks[m.hello.ID].verify(m.hello)
 	if p != nil {
 		n.log.Warn("refuses a registrar whose disk is an old copy", zap.String("name", m.hello.Name), zap.String("why", p.Text))
 		m.reply(p)
 		return
 	}
-	n.marks[m.hello.ID] = mark
+	n.watermarks[m.hello.ID] = mark
 	m.reply(mark)
 }
 
 // removed tells that the record names others in this registrar's place.
-func (n *node) removed() bool { return slices.Contains(n.state.FormerRegistrarIDs, n.id.ID) }
+func (n *node) isRemoved() bool { return slices.Contains(n.state.FormerRegistrarIDs, n.id.ID) }
 
 // see marks what another registrar was seen to promise: its disk has it, or is not the disk it was.
-func (n *node) see(m *pb.Message, boots uint64) {
+func (n *node) recordWatermark(m *pb.Message, boots uint64) {
 	if m.GetTerm() != 0 && m.GetTerm() < n.term {
-		n.inc("messages_refused", "old_term") // the library passes them over
+		n.countReason("messages_refused", "old_term") // the library passes them over
 	}
-	was := n.marks[m.GetFrom()]
-	now := was
-	now.Boots = max(now.Boots, boots)
+	old := n.watermarks[m.GetFrom()]
+	updated := old
+	updated.Boots = max(updated.Boots, boots)
 	switch m.GetType() {
 	case pb.MsgAppResp, pb.MsgVoteResp: // sent only once its disk has what they promise
-		now.Term = max(now.Term, m.GetTerm())
+		updated.Term = max(updated.Term, m.GetTerm())
 	}
-	if now != was {
-		n.marks[m.GetFrom()], n.marked = now, true
+	if updated != old {
+		n.watermarks[m.GetFrom()], n.watermarksChanged = updated, true
 	}
 }
 
 // ready carries out what the library asks.
-func (n *node) ready(rd raft.Ready) {
+func (n *node) handleReady(rd raft.Ready) {
 	if rd.SoftState != nil {
-		n.role(rd.SoftState)
-	} else if s := n.rn.BasicStatus(); n.leading && s.GetTerm() != n.term { // it leads again, in another term
-		n.role(&s.SoftState)
+		n.updateRole(rd.SoftState)
+	} else if s := n.rawNode.BasicStatus(); n.leading && s.GetTerm() != n.term { // it leads again, in another term
+		n.updateRole(&s.SoftState)
 	}
 	for _, r := range rd.ReadStates {
-		if string(r.RequestCtx) == strconv.FormatUint(n.proofID, 10) && len(n.proving) > 0 {
-			n.proven = append(n.proven, proof{r.Index, n.proving})
-			n.proving = nil
+		if string(r.RequestCtx) == strconv.FormatUint(n.readIndexID, 10) && len(n.provingReads) > 0 {
+			n.provenReads = append(n.provenReads, provenBatch{r.Index, n.provingReads})
+			n.provingReads = nil
 		}
 	}
 	for _, m := range rd.Messages {
 		switch m.GetTo() {
 		case raft.LocalAppendThread:
-			n.append(m)
+			n.queueAppend(m)
 		case raft.LocalApplyThread:
 			for _, e := range m.Entries {
-				n.carryOut(e)
+				n.applyEntry(e)
 			}
 			for _, r := range m.Responses {
 				n.deliver(r)
 			}
-			if n.applied >= n.snapIndex+snapshotEvery || n.confChanged {
-				n.snapshot()
+			if n.appliedIndex >= n.snapshotIndex+snapshotInterval || n.confChanged {
+				n.queueSnapshot()
 			}
 		default:
 			n.peers.send(m)
 		}
 	}
-	n.answerProven()
+	n.replyToProvenReads()
 }
 
 // append hands a write to the store's task.
-func (n *node) append(m *pb.Message) {
+func (n *node) queueAppend(m *pb.Message) {
 	if !raft.IsEmptySnap(m.Snapshot) {
-		n.install(m.Snapshot)
+		n.installSnapshot(m.Snapshot)
 	}
-	b := batch{}
+	toWrite := batch{}
 	if n.leading {
-		n.rn.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
-			if was := n.marks[id]; id != n.id.ID && pr.Match > was.Match {
-				was.Match = pr.Match
-				n.marks[id], n.marked = was, true
+		n.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
+			if watermark := n.watermarks[id]; id != n.id.ID && pr.Match > watermark.Match {
+				watermark.Match = pr.Match
+				n.watermarks[id], n.watermarksChanged = watermark, true
 			}
 		})
 	}
-	if n.marked {
-		b.marks, n.marked = maps.Clone(n.marks), false
+	if n.watermarksChanged {
+		toWrite.watermarks, n.watermarksChanged = maps.Clone(n.watermarks), false
 	}
-	n.store.put(toStore{append: m, batch: b})
+	n.storeInbox.put(storeRequest{append: m, batch: toWrite})
 }
 
 // deliver brings an answer to where it belongs.
@@ -365,42 +365,42 @@
 		n.peers.send(m)
 		return
 	}
-	if err := n.rn.Step(m); err != nil {
-		n.inc("messages_refused", "own")
+	if err := n.rawNode.Step(m); err != nil {
+		n.countReason("messages_refused", "own")
 	}
 }
 
 // role follows who leads.
-func (n *node) role(s *raft.SoftState) {
-	status := n.rn.BasicStatus()
-	n.lead = s.Lead
+func (n *node) updateRole(s *raft.SoftState) {
+	status := n.rawNode.BasicStatus()
+	n.leaderID = s.Lead
 	leads := s.RaftState == raft.StateLeader
 	if leads && (!n.leading || n.term != status.GetTerm()) {
 		now := n.opts.Clock.Now()
-		n.roll = lease.NewTracker(n.opts.Terms, now)
-		n.led, n.counted, n.settled, n.due = now, now, false, 0
-		n.forgetHeard()
+		n.leases = lease.NewTracker(n.opts.Terms, now)
+		n.leaderSince, n.expiryCountedUntil, n.appliedOwnTerm, n.dueInFlight = now, now, false, 0
+		n.resetDispatcherReports()
 		n.log.Info("leads", zap.Uint64("term", status.GetTerm()))
-		n.set.GetOrCreateCounter("registrar_elections_won_total").Inc()
+		n.counters.GetOrCreateCounter("registrar_elections_won_total").Inc()
 	}
 	if !leads && n.leading {
 		n.log.Info("does not lead any more", zap.Uint64("term", status.GetTerm()), zap.String("leader", n.leaderName()))
 		n.failAll("another registrar leads, or none")
-		n.roll = nil
+		n.leases = nil
 	}
 	n.leading, n.term = leads, status.GetTerm()
-	n.show()
+	n.publish()
 }
 
 // forgetHeard begins anew with what is kept of dispatchers for one term.
-func (n *node) forgetHeard() {
-	n.lists, n.reports, n.unknown = map[string]list{}, map[string][]cordon.Evidence{}, map[string][]string{}
-	n.met, n.clocks = map[string]evidence{}, map[string]time.Duration{}
+func (n *node) resetDispatcherReports() {
+	n.serverLists, n.hostEvidence, n.unknownKinds = map[string]serverList{}, map[string][]cordon.Evidence{}, map[string][]string{}
+	n.siteEvidence, n.clockOffsets = map[string]siteReport{}, map[string]time.Duration{}
 }
 
 func (n *node) leaderName() string {
 	for name, r := range n.state.Registrars {
-		if r.ID == n.lead && n.lead != 0 {
+		if r.ID == n.leaderID && n.leaderID != 0 {
 			return name
 		}
 	}
@@ -408,17 +408,17 @@
 }
 
 // carryOut takes one agreed entry into the record.
-func (n *node) carryOut(e *pb.Entry) {
-	n.applied, n.lastTerm = e.GetIndex(), e.GetTerm()
+func (n *node) applyEntry(e *pb.Entry) {
+	n.appliedIndex, n.appliedTerm = e.GetIndex(), e.GetTerm()
 	if n.leading && e.GetTerm() == n.term {
-		n.settled, n.dirty = true, true
+		n.appliedOwnTerm, n.dueMayHaveChanged = true, true
 	}
 	switch {
 	case e.GetType() == pb.EntryConfChangeV2 || e.GetType() == pb.EntryConfChange:
-		n.carryOutChange(e)
+		n.applyMembershipChange(e)
 		return
 	case len(e.Data) == 0: // of a new leader
-		n.show()
+		n.publish()
 		return
 	}
 	var env envelope
@@ -435,68 +435,68 @@
 	}
 	r := n.state.Apply(entry, e.GetTerm())
 	if r.Step != nil {
-		n.store.put(toStore{batch: batch{steps: []ruleset.Step{*r.Step}}})
+		n.storeInbox.put(storeRequest{batch: batch{steps: []ruleset.Step{*r.Step}}})
 	}
-	n.dirty = true
-	n.show()
-	n.answer(env.Ref, r)
+	n.dueMayHaveChanged = true
+	n.publish()
+	n.reply(env.Ref, r)
 }
 
-func (n *node) answer(ref string, v any) {
-	if reply := n.waiting[ref]; reply != nil {
-		delete(n.waiting, ref)
+func (n *node) reply(ref string, v any) {
+	if reply := n.replies[ref]; reply != nil {
+		delete(n.replies, ref)
 		reply(v)
 	}
 }
 
 // show lets other tasks see the newest version.
-func (n *node) show() {
-	s := &shown{document: n.state.Book.Document, registrars: n.state.Registrars, gone: n.state.FormerRegistrarIDs,
-		next: make(chan struct{}), state: accord.Role{Name: n.id.Name, Leader: n.leaderName(),
-			Leads: n.leading, Term: n.rn.BasicStatus().GetTerm(), Applied: n.applied, Version: n.state.Book.Document.Head.Version}}
-	if was := n.shown.Swap(s); was != nil {
-		close(was.next)
+func (n *node) publish() {
+	s := &view{document: n.state.Book.Document, registrars: n.state.Registrars, formerIDs: n.state.FormerRegistrarIDs,
+		replaced: make(chan struct{}), role: accord.Role{Name: n.id.Name, Leader: n.leaderName(),
+			Leads: n.leading, Term: n.rawNode.BasicStatus().GetTerm(), Applied: n.appliedIndex, Version: n.state.Book.Document.Head.Version}}
+	if was := n.published.Swap(s); was != nil {
+		close(was.replaced)
 	}
 }
 
 // install takes a record that the leader sent whole.
-func (n *node) install(snap *pb.Snapshot) {
+func (n *node) installSnapshot(snap *pb.Snapshot) {
 	s, err := decodeState(snap)
 	if err != nil {
 		n.inbox.put(failure{err})
 		return
 	}
-	n.state, n.applied, n.conf, n.snapIndex = s, snap.Metadata.GetIndex(), snap.Metadata.ConfState, snap.Metadata.GetIndex()
-	n.lastTerm = snap.Metadata.GetTerm()
-	n.peers.use(s.Registrars)
-	n.log.Info("took the whole record from the leader", zap.Uint64("index", n.applied), zap.Uint64("version", s.Book.Document.Head.Version))
-	n.show()
+	n.state, n.appliedIndex, n.confState, n.snapshotIndex = s, snap.Metadata.GetIndex(), snap.Metadata.ConfState, snap.Metadata.GetIndex()
+	n.appliedTerm = snap.Metadata.GetTerm()
+	n.peers.update(s.Registrars)
+	n.log.Info("took the whole record from the leader", zap.Uint64("index", n.appliedIndex), zap.Uint64("version", s.Book.Document.Head.Version))
+	n.publish()
 }
 
 // snapshot writes the record whole once in a while, so that the log stays short.
-func (n *node) snapshot() {
-	n.snapIndex, n.confChanged = n.applied, false
+func (n *node) queueSnapshot() {
+	n.snapshotIndex, n.confChanged = n.appliedIndex, false
 	text, err := json.Marshal(n.state)
 	if err != nil {
 		n.inbox.put(failure{fmt.Errorf("record: %w", err)})
 		return
 	}
-	term := n.lastTerm
+	term := n.appliedTerm
 	keep := uint64(0)
-	if n.applied > keptEntries {
-		keep = n.applied - keptEntries
+	if n.appliedIndex > keptLogEntries {
+		keep = n.appliedIndex - keptLogEntries
 	}
-	n.store.put(toStore{batch: batch{keep: keep, snapshot: &pb.Snapshot{Data: text,
-		Metadata: &pb.SnapshotMetadata{ConfState: n.conf, Index: proto.Uint64(n.applied), Term: proto.Uint64(term)}}}})
+	n.storeInbox.put(storeRequest{batch: batch{keepFrom: keep, snapshot: &pb.Snapshot{Data: text,
+		Metadata: &pb.SnapshotMetadata{ConfState: n.confState, Index: proto.Uint64(n.appliedIndex), Term: proto.Uint64(term)}}}})
 }
 
 // ask takes a question that needs proof of leadership. Danger: a beat counts from here, before anything is granted.
-func (n *node) ask(a *asked) {
+func (n *node) queueRead(a *readRequest) {
 	switch {
 	case !n.leading:
 		a.reply(n.notLeader())
 		return
-	case !n.settled || len(n.beats) >= maxBeats:
+	case !n.appliedOwnTerm || len(n.queuedReads) >= maxQueuedReads:
 		a.reply(accord.NewProblem(accord.CodeBusy, "the leader has just been chosen, or has too much to do"))
 		return
 	}
@@ -505,33 +505,33 @@
 			a.reply(accord.NewProblem(accord.CodeLife, "this life is not in the record"))
 			return
 		}
-		_, was, _ := n.roll.LastBeat(b.Name, b.Life)
-		a.length = n.state.LeaseLength(n.opts.Terms, n.state.Members[b.Name].Site, n.unix())
-		n.roll.RecordBeat(a.at, b.Name, b.Life, b.Holds, a.length)
-		n.dirty = n.dirty || b.Holds > was
+		_, was, _ := n.leases.LastBeat(b.Name, b.Life)
+		a.leaseLength = n.state.LeaseLength(n.opts.Terms, n.state.Members[b.Name].Site, n.unixMs())
+		n.leases.RecordBeat(a.receivedAt, b.Name, b.Life, b.Holds, a.leaseLength)
+		n.dueMayHaveChanged = n.dueMayHaveChanged || b.Holds > was
 		if len(b.Listed) > 0 {
-			n.lists[b.Name] = list{b.List, b.Listed}
+			n.serverLists[b.Name] = serverList{b.List, b.Listed}
 		}
 		if b.Reports != nil {
-			n.reports[b.Name] = cordon.AccumulateEvidence(n.reports[b.Name], b.Reports)
+			n.hostEvidence[b.Name] = cordon.AccumulateEvidence(n.hostEvidence[b.Name], b.Reports)
 		}
-		n.clocks[b.Name] = time.UnixMilli(b.Unix).Sub(n.opts.WallClock())
+		n.clockOffsets[b.Name] = time.UnixMilli(b.Unix).Sub(n.opts.WallClock())
 		if len(b.Met) > 0 {
-			n.met[b.Name] = evidence{a.at, b.Met}
+			n.siteEvidence[b.Name] = siteReport{a.receivedAt, b.Met}
 		}
 		for _, e := range b.Ended {
 			n.propose(statemachine.Entry{Outcome: &e}, func(any) {})
 		}
-		if n.unknown[b.Name] = b.Unknown; len(b.Unknown) == 0 {
-			delete(n.unknown, b.Name)
+		if n.unknownKinds[b.Name] = b.Unknown; len(b.Unknown) == 0 {
+			delete(n.unknownKinds, b.Name)
 		}
-		n.set.GetOrCreateCounter("registrar_beats_total").Inc()
+		n.counters.GetOrCreateCounter("registrar_beats_total").Inc()
 	}
-	n.beats = append(n.beats, a)
+	n.queuedReads = append(n.queuedReads, a)
 }
 
 func (n *node) notLeader() *accord.Problem {
-	if n.lead == 0 {
+	if n.leaderID == 0 {
 		return accord.NewProblem(accord.CodeBusy, "there is no leader now, as far as this registrar knows")
 	}
 	p := accord.NewProblem(accord.CodeNotLeader, "another registrar leads")
@@ -540,26 +540,26 @@
 }
 
 // prove asks the others whether this registrar still leads, once for all that wait.
-func (n *node) prove() {
-	if len(n.beats) == 0 || len(n.proving) > 0 || !n.leading || !n.settled {
+func (n *node) startReadIndex() {
+	if len(n.queuedReads) == 0 || len(n.provingReads) > 0 || !n.leading || !n.appliedOwnTerm {
 		return
 	}
-	n.proofID++
-	n.proving, n.beats, n.proofAt = n.beats, nil, n.opts.Clock.Now()
-	n.rn.ReadIndex([]byte(strconv.FormatUint(n.proofID, 10)))
+	n.readIndexID++
+	n.provingReads, n.queuedReads, n.readIndexAt = n.queuedReads, nil, n.opts.Clock.Now()
+	n.rawNode.ReadIndex([]byte(strconv.FormatUint(n.readIndexID, 10)))
 }
 
 // answerProven answers those whose proof has come, once the record is as new as it was proved to be.
-func (n *node) answerProven() {
-	n.proven = slices.DeleteFunc(n.proven, func(p proof) bool {
-		if p.index > n.applied {
+func (n *node) replyToProvenReads() {
+	n.provenReads = slices.DeleteFunc(n.provenReads, func(p provenBatch) bool {
+		if p.index > n.appliedIndex {
 			return false
 		}
-		for _, a := range p.for_ {
+		for _, a := range p.reads {
 			if a.beat == nil {
 				a.reply(n.status())
 			} else {
-				a.reply(n.grant(a.beat, a.length))
+				a.reply(n.grantLease(a.beat, a.leaseLength))
 			}
 		}
 		return true
@@ -567,13 +567,13 @@
 }
 
 // grant gives a lease on the newest version.
-func (n *node) grant(b *accord.Beat, length time.Duration) any {
+func (n *node) grantLease(b *accord.Beat, length time.Duration) any {
 	if m := n.state.Members[b.Name]; m.Incarnation != b.Life {
 		return accord.NewProblem(accord.CodeLife, "another life took its place")
 	}
 	d := n.state.Book.Document
 	g := accord.Granted{Cluster: n.opts.Cluster, Leader: n.id.Name, Version: d.Head.Version, LeaseNs: int64(length),
-		WantList: b.List != "" && n.lists[b.Name].sum != b.List, Tasks: n.state.Tasks(b.Name, b.Life)}
+		WantList: b.List != "" && n.serverLists[b.Name].digest != b.List, Tasks: n.state.Tasks(b.Name, b.Life)}
 	if b.Holds != d.Head.Version {
 		g.Document = &d
 	}
@@ -586,7 +586,7 @@
 	case !n.leading:
 		reply(n.notLeader())
 		return
-	case !n.settled || len(n.waiting) >= maxProposals:
+	case !n.appliedOwnTerm || len(n.replies) >= maxProposals:
 		reply(accord.NewProblem(accord.CodeBusy, "the leader has just been chosen, or has too much to do"))
 		return
 	}
@@ -594,21 +594,21 @@
 		e.Ask.Evidence = nil
 		if slices.ContainsFunc(e.Ask.Changes, func(c ruleset.Change) bool { return c.Kind == ruleset.KindCordon }) {
 			// Danger: a leader that has just been chosen has heard no list yet, and would hold every server for unknown.
-			if e.Ask.Evidence = n.listed(); len(n.lists) == 0 && n.opts.Clock.Now() < n.led+n.opts.Terms.Length {
+			if e.Ask.Evidence = n.mergedServers(); len(n.serverLists) == 0 && n.opts.Clock.Now() < n.leaderSince+n.opts.Terms.Length {
 				reply(accord.NewProblem(accord.CodeBusy, "no dispatcher has told this leader of the servers yet"))
 				return
 			}
 		}
-		if p := n.notUnderstood(e.Ask); p != nil {
+		if p := n.findUnsupported(e.Ask); p != nil {
 			reply(p)
 			return
 		}
 	}
-	e.Term, e.At = n.term, n.unix()
+	e.Term, e.At = n.term, n.unixMs()
 	inner, err := json.Marshal(e)
 	var text []byte
-	n.serial++
-	ref := fmt.Sprintf("%x-%d-%d", n.id.ID, n.id.Boots, n.serial)
+	n.lastRef++
+	ref := fmt.Sprintf("%x-%d-%d", n.id.ID, n.id.Boots, n.lastRef)
 	if err == nil {
 		text, err = json.Marshal(envelope{ref, inner})
 	}
@@ -616,16 +616,16 @@
 		reply(accord.NewProblem(accord.CodeWrong, err.Error()))
 		return
 	}
-	if err := n.rn.Propose(text); err != nil {
+	if err := n.rawNode.Propose(text); err != nil {
 		reply(accord.NewProblem(accord.CodeBusy, err.Error()))
 		return
 	}
-	n.waiting[ref] = reply
-	n.set.GetOrCreateCounter("registrar_proposals_total").Inc()
+	n.replies[ref] = reply
+	n.counters.GetOrCreateCounter("registrar_proposals_total").Inc()
 }
 
 // notUnderstood finds dispatchers that do not know a kind of rule which is asked for.
-func (n *node) notUnderstood(a *ruleset.ChangeRequest) *accord.Problem {
+func (n *node) findUnsupported(a *ruleset.ChangeRequest) *accord.Problem {
 	for name, m := range n.state.Members {
 		for _, c := range a.Changes {
 			known := slices.Contains(ruleset.SupportedKinds, string(c.Kind)) // else it is refused for that
@@ -638,10 +638,10 @@
 }
 
 // listed is what the dispatchers list, pooled.
-func (n *node) listed() []cordon.Server {
+func (n *node) mergedServers() []cordon.Server {
 	lists := map[string][]cordon.Server{}
-	for name, l := range n.lists {
-		if n.present(name) {
+	for name, l := range n.serverLists {
+		if n.isActive(name) {
 			lists[name] = l.servers
 		}
 	}
@@ -649,48 +649,48 @@
 }
 
 // present tells whether a dispatcher was heard not long ago: what one told that is gone by now is no evidence.
-func (n *node) present(name string) bool {
+func (n *node) isActive(name string) bool {
 	m, ok := n.state.Members[name]
-	return ok && m.Incarnation != 0 && !n.roll.HasLapsed(n.opts.Clock.Now(), name, m.Incarnation)
+	return ok && m.Incarnation != 0 && !n.leases.HasLapsed(n.opts.Clock.Now(), name, m.Incarnation)
 }
 
 // watch is what this leader knows beside the record.
-func (n *node) watch() statemachine.LeaderView {
+func (n *node) leaderView() statemachine.LeaderView {
 	now := n.opts.Clock.Now()
 	reports := map[string][]cordon.Evidence{}
-	for name, r := range n.reports {
-		if n.present(name) {
+	for name, r := range n.hostEvidence {
+		if n.isActive(name) {
 			reports[name] = r
 		}
 	}
 	met := map[string][]contact.Evidence{}
-	for name, e := range n.met {
-		if now-e.at <= 2*n.opts.Terms.Beat {
-			met[name] = e.met
+	for name, e := range n.siteEvidence {
+		if now-e.receivedAt <= 2*n.opts.Terms.Beat {
+			met[name] = e.evidence
 		}
 	}
-	return statemachine.LeaderView{Leases: n.roll, Now: now, ListServers: n.listed, Reports: reports, AutoCordon: n.opts.AutoCordon, Elapsed: now - n.counted,
-		SiteStates: contact.MergeEvidence(met), UnixMs: n.unix(), Schedule: n.opts.Schedule}
+	return statemachine.LeaderView{Leases: n.leases, Now: now, ListServers: n.mergedServers, Reports: reports, AutoCordon: n.opts.AutoCordon, Elapsed: now - n.expiryCountedUntil,
+		SiteStates: contact.MergeEvidence(met), UnixMs: n.unixMs(), Schedule: n.opts.Schedule}
 }
 
 // unix is the wall clock that the record goes by, in ms.
-func (n *node) unix() int64 {
-	return n.opts.WallClock().Add(lease.MedianOffset(slices.Collect(maps.Values(n.clocks)))).UnixMilli()
+func (n *node) unixMs() int64 {
+	return n.opts.WallClock().Add(lease.MedianOffset(slices.Collect(maps.Values(n.clockOffsets)))).UnixMilli()
 }
 
 // dueNow puts what is due before the others.
-func (n *node) dueNow() {
-	if !n.leading || !n.settled || !n.dirty || n.due > 0 {
+func (n *node) proposeDue() {
+	if !n.leading || !n.appliedOwnTerm || !n.dueMayHaveChanged || n.dueInFlight > 0 {
 		return
 	}
-	n.dirty = false
-	for _, e := range n.state.Due(n.watch()) {
+	n.dueMayHaveChanged = false
+	for _, e := range n.state.Due(n.leaderView()) {
 		if e.Elapsed != nil {
-			n.counted += time.Duration(e.Elapsed.Ms) * time.Millisecond
+			n.expiryCountedUntil += time.Duration(e.Elapsed.Ms) * time.Millisecond
 		}
-		n.due++
+		n.dueInFlight++
 		n.propose(e, func(v any) {
-			n.due = max(0, n.due-1)
+			n.dueInFlight = max(0, n.dueInFlight-1)
 			if r, ok := v.(statemachine.Result); ok && e.Confirm != nil && r.Refused == "" {
 				n.log.Info("confirmed", zap.String("cordon", e.Confirm.Cordon), zap.Strings("lapsed", e.Confirm.Lapsed))
 			}
@@ -699,13 +699,13 @@
 }
 
 // failBeats answers those that wait for a proof.
-func (n *node) failBeats(why string) {
-	all := append(n.proving, n.beats...)
-	for _, p := range n.proven {
-		all = append(all, p.for_...)
+func (n *node) failReads(why string) {
+	all := append(n.provingReads, n.queuedReads...)
+	for _, p := range n.provenReads {
+		all = append(all, p.reads...)
 	}
-	n.proving, n.beats, n.proven = nil, nil, nil
-	n.proofID++ // a proof that comes late is nobody's
+	n.provingReads, n.queuedReads, n.provenReads = nil, nil, nil
+	n.readIndexID++ // a proof that comes late is nobody's
 	for _, a := range all {
 		a.reply(accord.NewProblem(accord.CodeBusy, why))
 	}
@@ -713,41 +713,41 @@
 
 // failAll answers all that wait. What was proposed may yet be agreed: the same key brings the answer.
 func (n *node) failAll(why string) {
-	n.failBeats(why)
-	waiting := n.waiting
-	n.waiting = map[string]func(any){}
+	n.failReads(why)
+	waiting := n.replies
+	n.replies = map[string]func(any){}
 	for _, reply := range waiting {
 		reply(accord.NewProblem(accord.CodeBusy, why+": it may have been agreed; ask again with the same key"))
 	}
 }
 
-func (n *node) reported(m sent) {
+func (n *node) reportSend(m sendResult) {
 	switch {
 	case m.snapshot && m.ok:
-		n.rn.ReportSnapshot(m.to, raft.SnapshotFinish)
+		n.rawNode.ReportSnapshot(m.to, raft.SnapshotFinish)
 	case m.snapshot:
-		n.rn.ReportSnapshot(m.to, raft.SnapshotFailure)
+		n.rawNode.ReportSnapshot(m.to, raft.SnapshotFailure)
 	default:
-		n.rn.ReportUnreachable(m.to)
+		n.rawNode.ReportUnreachable(m.to)
 	}
 }
 
 // handOver lets another registrar lead, before this one ends.
-func (n *node) handOver() {
+func (n *node) transferLeadership() {
 	if !n.leading {
 		return
 	}
 	best, match := uint64(0), uint64(0)
-	n.rn.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
+	n.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
 		if id != n.id.ID && pr.RecentActive && pr.Match >= match {
 			best, match = id, pr.Match
 		}
 	})
 	if best != 0 {
-		n.rn.TransferLeader(best)
+		n.rawNode.TransferLeader(best)
 	}
 }
 
-func (n *node) inc(name, why string) {
-	n.set.GetOrCreateCounter(fmt.Sprintf("registrar_%s_total{why=%q}", name, why)).Inc()
+func (n *node) countReason(name, why string) {
+	n.counters.GetOrCreateCounter(fmt.Sprintf("registrar_%s_total{why=%q}", name, why)).Inc()
 }
