--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -20,7 +20,8 @@
 	"merlinarch/internal/decide/statemachine"
 )
 
-// front is the registrar's HTTP: each request is a session of its own, which asks the node and waits.
+// frontend is the registrar's HTTP server. Each request runs in its own goroutine, which sends a message to the node and waits
+// for the answer.
 type frontend struct {
 	opts       Options
 	id         Identity
@@ -29,14 +30,15 @@
 	storeInbox *mailbox[storeRequest]
 	counters   *metrics.Set
 	log        *zap.Logger
-	stopped    chan struct{} // closed when the registrar ends
+	stopped    chan struct{} // closed when the registrar shuts down
 
-	running atomic.Pointer[node] // nil until it takes part
+	running atomic.Pointer[node] // nil until this registrar takes part
 
 	mu         sync.Mutex
-	watermarks map[uint64]Watermark // as they were at the start, and as hellos brought them
+	watermarks map[uint64]Watermark // used until the node runs: as loaded at the start, and updated by hellos
 }
 
+// routes returns the handler of all paths.
 func (f *frontend) routes() http.Handler {
 	mux := http.NewServeMux()
 	post := func(path string, maxBytes int64, h func(r *http.Request) any) {
@@ -59,7 +61,7 @@
 	return mux
 }
 
-// answer writes an answer, and counts what was refused.
+// writeAnswer writes an answer, and counts it if it is a refusal.
 func (f *frontend) writeAnswer(w http.ResponseWriter, v any) {
 	if p, ok := v.(*accord.Problem); ok {
 		f.counters.GetOrCreateCounter(`registrar_refused_total{code="` + p.Code + `"}`).Inc()
@@ -67,7 +69,7 @@
 	accord.Write(w, v)
 }
 
-// take reads a body and holds its cluster against this one's.
+// readBody decodes a body and refuses one from another cluster. cluster points to the cluster's name within into.
 func (f *frontend) readBody(r *http.Request, maxBytes int64, into any, cluster *string) *accord.Problem {
 	switch err := accord.Read(r, maxBytes, into); {
 	case errors.Is(err, accord.ErrSpoilt):
@@ -81,9 +83,10 @@
 	return nil
 }
 
+// notRunning is the refusal while this registrar is still verifying its store with its peers.
 var notRunning = accord.NewProblem(accord.CodeBusy, "this registrar does not take part yet")
 
-// wait puts a question to the node and waits for its answer.
+// askNode sends a message to the node and waits for its answer, at most for the length of a lease.
 func (f *frontend) askNode(r *http.Request, ask func(reply func(any)) any) any {
 	if f.running.Load() == nil {
 		return notRunning
@@ -92,7 +95,7 @@
 	f.nodeInbox.put(ask(func(v any) {
 		select {
 		case answers <- v:
-		default: // it was answered already
+		default: // already answered
 		}
 	}))
 	timeout := time.NewTimer(f.opts.Terms.Length)
@@ -104,10 +107,10 @@
 	case <-f.stopped:
 	case <-timeout.C:
 	}
-	return accord.NewProblem(accord.CodeBusy, "no agreement in time: it may come about yet; ask again with the same key")
+	return accord.NewProblem(accord.CodeBusy, "not committed in time: it may still be; retry with the same key")
 }
 
-// raft takes another registrar's messages.
+// raft passes another registrar's Raft messages on to the node.
 func (f *frontend) raft(r *http.Request) any {
 	var batch raftBatch
 	if wrong := f.readBody(r, maxRaftBody, &batch, &batch.Cluster); wrong != nil {
@@ -123,7 +126,7 @@
 		return accord.NewProblem(accord.CodeGone, "this registrar was replaced")
 	case batch.ToID != f.id.ID:
 		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="not_for_this_disk"}`).Inc()
-		return accord.NewProblem(accord.CodeWrong, "for another disk than this one")
+		return accord.NewProblem(accord.CodeWrong, "meant for another store than this one")
 	case !f.isKnownRegistrar(n, batch.From):
 		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
 		return accord.NewProblem(accord.CodeWrong, "no registrar of this name is known")
@@ -133,7 +136,7 @@
 		m := &pb.Message{}
 		if err := proto.Unmarshal(text, m); err != nil || m.GetFrom() != batch.FromID || m.GetTo() != f.id.ID {
 			f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="unreadable"}`).Inc()
-			return accord.NewProblem(accord.CodeWrong, "a message that can't be")
+			return accord.NewProblem(accord.CodeWrong, "a message that can't be decoded, or with another sender or receiver than its batch")
 		}
 		messages.messages = append(messages.messages, m)
 	}
@@ -141,14 +144,15 @@
 	return struct{}{}
 }
 
+// isKnownRegistrar reports whether the settings or the replicated state name a registrar.
 func (f *frontend) isKnownRegistrar(n *node, name string) bool {
 	_, configured := f.opts.Registrars[name]
 	_, isMember := n.published.Load().registrars[name]
 	return configured || isMember
 }
 
-// hello tells a registrar that starts whether its disk is the one it had. What it tells of itself is on this disk before
-// it is answered.
+// hello tells a registrar that starts whether its store is up to date. The new watermark is on this registrar's disk before the
+// answer is sent.
 func (f *frontend) hello(r *http.Request) any {
 	var h Hello
 	if wrong := f.readBody(r, accord.MaxBody, &h, &h.Cluster); wrong != nil {
@@ -166,7 +170,7 @@
 		default:
 			return v
 		}
-	} else { // this one starts as well: what it knows is what was on its disk
+	} else { // this registrar is starting too: it knows only the watermarks in its store
 		var p *accord.Problem
 		f.mu.Lock()
 		watermark, p = f.watermarks[h.ID].verify(h)
@@ -191,23 +195,24 @@
 	return notRunning
 }
 
-// greet holds what a registrar tells at its start against what it was seen to promise.
+// verify compares what a registrar says at its start with its watermark. It returns the new watermark, or a refusal.
 func (m Watermark) verify(h Hello) (Watermark, *accord.Problem) {
 	if h.Boots < m.Boots || h.Boots == m.Boots && m.StartToken != "" && h.StartToken != m.StartToken || h.LastIndex < m.Match || h.Term < m.Term {
-		return m, accord.NewProblem(codeStaleStore, fmt.Sprintf("its disk tells of start %d, entry %d and term %d; seen were %d, %d and %d",
+		return m, accord.NewProblem(codeStaleStore, fmt.Sprintf("its store has start %d, entry %d and term %d; seen were start %d, entry %d and term %d",
 			h.Boots, h.LastIndex, h.Term, m.Boots, m.Match, m.Term))
 	}
-	m.Boots, m.StartToken = h.Boots, h.StartToken // the same start may ask again
+	m.Boots, m.StartToken = h.Boots, h.StartToken // the same start may send its hello again
 	return m, nil
 }
 
+// enrol registers a dispatcher and gives it an incarnation.
 func (f *frontend) enrol(r *http.Request) any {
 	var e accord.Enrol
 	if wrong := f.readBody(r, accord.MaxBody, &e, &e.Cluster); wrong != nil {
 		return wrong
 	}
 	if e.Terms != f.opts.Terms {
-		return accord.NewProblem(accord.CodeTerms, "lease, beat, send or drift are set otherwise at this registrar")
+		return accord.NewProblem(accord.CodeTerms, "lease, beat, send or drift differ from this registrar's settings")
 	}
 	v := f.askNode(r, func(reply func(any)) any {
 		return proposal{statemachine.Entry{Enrol: &statemachine.Enrol{Name: e.Name, Token: e.Token, Mode: e.Mode, KnownKinds: e.Knows, Site: e.Site}}, reply}
@@ -221,6 +226,7 @@
 	return v
 }
 
+// beat renews a dispatcher's lease. The lease tracker counts from when the request came in.
 func (f *frontend) beat(r *http.Request) any {
 	at := f.opts.Clock.Now()
 	var b accord.Beat
@@ -230,6 +236,7 @@
 	return f.askNode(r, func(reply func(any)) any { return &readRequest{receivedAt: at, beat: &b, reply: reply} })
 }
 
+// change proposes an operator's changes.
 func (f *frontend) change(r *http.Request) any {
 	var a accord.Ask
 	if wrong := f.readBody(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
@@ -242,6 +249,7 @@
 	return v
 }
 
+// retire proposes that a dispatcher is no longer waited for.
 func (f *frontend) retire(r *http.Request) any {
 	var q accord.Retire
 	if wrong := f.readBody(r, accord.MaxBody, &q, &q.Cluster); wrong != nil {
@@ -259,6 +267,7 @@
 	return v
 }
 
+// members proposes a membership change of the registrars.
 func (f *frontend) members(r *http.Request) any {
 	var m MembershipChange
 	if wrong := f.readBody(r, accord.MaxBody, &m, &m.Cluster); wrong != nil {
@@ -271,7 +280,8 @@
 	return v
 }
 
-// watch brings the newest version once it is newer than the one that the asker has.
+// watch waits until there is a version newer than the client's, and returns the newest one; it returns none if there is none in
+// time.
 func (f *frontend) watch(r *http.Request) any {
 	q := r.URL.Query()
 	if q.Get("cluster") != f.opts.Cluster {
@@ -300,13 +310,14 @@
 		case <-r.Context().Done():
 			return accord.News{Cluster: f.opts.Cluster}
 		case <-f.stopped:
-			return accord.NewProblem(accord.CodeBusy, "the registrar ends")
+			return accord.NewProblem(accord.CodeBusy, "the registrar is shutting down")
 		}
 	}
 }
 
+// status returns the status of the cluster, or of this registrar alone.
 func (f *frontend) status(r *http.Request) any {
-	if r.URL.Query().Has("local") { // of this registrar alone, also without a leader
+	if r.URL.Query().Has("local") { // this registrar's own role, which needs no leader
 		if n := f.running.Load(); n != nil {
 			return n.published.Load().role
 		}
@@ -315,7 +326,7 @@
 	return f.askNode(r, func(reply func(any)) any { return &readRequest{receivedAt: f.opts.Clock.Now(), reply: reply} })
 }
 
-// status is called once leadership is proved.
+// status returns the status of the cluster. It is called once leadership is proved.
 func (n *node) status() any {
 	if !n.leading {
 		return n.notLeader()
@@ -350,7 +361,7 @@
 	return status
 }
 
-// version reads the history back, from a version on, from this registrar's disk.
+// version returns the history from a version on, as far as this registrar's store has it.
 func (f *frontend) version(r *http.Request) any {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
@@ -361,7 +372,7 @@
 		return accord.NewProblem(accord.CodeWrong, err.Error())
 	}
 	if len(steps) > 0 && steps[0].Head.Version != from {
-		return accord.NewProblem(accord.CodeBusy, "this registrar does not have this version yet: ask another")
+		return accord.NewProblem(accord.CodeBusy, "this registrar does not have this version yet: ask another one")
 	}
 	return accord.Versions{Steps: steps}
 }
--- a/internal/registrar/peers.go
+++ b/internal/registrar/peers.go
@@ -18,14 +18,14 @@
 const (
 	pathRaft           = "/v1/raft"
 	pathHello          = "/v1/hello"
-	maxRaftBody        = 64 << 20 // a snapshot, as text
-	maxQueuedMessages  = 512      // messages for one registrar; beyond, they are dropped, and sent anew by the protocol
-	maxMessagesPerBody = 128      // in one body
-	maxPeers           = 16       // registrars in all, with those that the record does not name yet
+	maxRaftBody        = 64 << 20 // bytes; has to hold an encoded snapshot
+	maxQueuedMessages  = 512      // messages for one registrar; further ones are dropped, and Raft sends them again
+	maxMessagesPerBody = 128      // messages in one request
+	maxPeers           = 16       // including registrars that the replicated state doesn't name yet
 )
 
-// parcel is what one registrar sends another. Danger: an address may have gone over to another cluster, or to another
-// disk of the same name; whom it is from and for is told, and anybody else refuses it.
+// raftBatch is the body of a request with Raft messages. It names its sender and its receiver, and any other receiver refuses
+// it: an address may since belong to another cluster, or to a registrar of the same name with a new store.
 type raftBatch struct {
 	Cluster  string   `json:"cluster"`
 	From     string   `json:"from"`
@@ -35,7 +35,7 @@
 	Messages [][]byte `json:"messages"` // protobuf
 }
 
-// peers is the way to the other registrars: a task each, which owns its connection.
+// peers sends to the other registrars. Each of them has a goroutine that owns the connection to it.
 type peers struct {
 	opts      Options
 	id        Identity
@@ -49,6 +49,7 @@
 	byID map[uint64]*peer
 }
 
+// peer is one other registrar.
 type peer struct {
 	name, addr string
 	id         uint64
@@ -56,12 +57,13 @@
 	queue      chan *pb.Message
 }
 
+// newPeers returns a sender without any peers.
 func newPeers(ctx context.Context, o Options, id Identity, nodeInbox *mailbox[any], counters *metrics.Set) *peers {
 	return &peers{opts: o, id: id, nodeInbox: nodeInbox, counters: counters, ctx: ctx, byID: map[uint64]*peer{},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2}}}
 }
 
-// address is where a registrar is reached from here.
+// address returns where a registrar is reached from here: as configured, or else as recorded in the replicated state.
 func (p *peers) address(name, recorded string) string {
 	if a, ok := p.opts.Registrars[name]; ok {
 		return a
@@ -69,7 +71,7 @@
 	return recorded
 }
 
-// use brings the tasks in step with the record.
+// update starts and stops peers so that they match the replicated state.
 func (p *peers) update(registrars map[string]statemachine.Registrar) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,8 +94,8 @@
 	}
 }
 
-// learn makes a way to a registrar that has written, where the record does not name it yet: one that joins has to answer
-// before it has the record.
+// addUnlisted starts a peer for a registrar that has sent messages and that the replicated state doesn't name yet. A registrar
+// that joins needs this: it has to answer the leader before it has the state.
 func (p *peers) addUnlisted(name string, id uint64) {
 	addr, ok := p.opts.Registrars[name]
 	p.mu.Lock()
@@ -103,7 +105,7 @@
 	}
 }
 
-// start is called under the lock.
+// startPeer starts the goroutine of a peer. The caller holds mu.
 func (p *peers) startPeer(name, addr string, id uint64) {
 	ctx, stop := context.WithCancel(p.ctx)
 	q := &peer{name: name, addr: addr, id: id, stop: stop, queue: make(chan *pb.Message, maxQueuedMessages)}
@@ -111,7 +113,7 @@
 	p.tasks.Go(func() { p.runPeer(ctx, q) })
 }
 
-// send queues a message. Losing one is harmless: the protocol sends anew.
+// send queues a message. A message that is lost does no harm, as Raft sends it again.
 func (p *peers) send(m *pb.Message) {
 	p.mu.Lock()
 	q := p.byID[m.GetTo()]
@@ -130,7 +132,7 @@
 	}
 }
 
-// run sends what is queued for one registrar, all that waits in one body.
+// runPeer sends the messages queued for one registrar, as many as fit in each request.
 func (p *peers) runPeer(ctx context.Context, q *peer) {
 	for {
 		var first *pb.Message
@@ -173,7 +175,7 @@
 			if errors.As(err, &refused) && refused.Code == accord.CodeGone {
 				p.nodeInbox.put(failure{ErrRemoved})
 			}
-			// Danger: whoever refuses connections answers at once; the loop must not spin on it.
+			// A refused connection fails at once; without a pause this loop would spin.
 			pause := time.NewTimer(tickEvery(p.opts.Terms))
 			select {
 			case <-ctx.Done():
@@ -184,11 +186,12 @@
 	}
 }
 
-// ask asks another registrar something that needs no body.
+// get sends another registrar a request without a body.
 func (p *peers) get(ctx context.Context, addr, path string, out any, timeout time.Duration) error {
 	return p.post(ctx, addr, path, nil, out, timeout)
 }
 
+// post sends another registrar a request and decodes its answer into out, unless out is nil.
 func (p *peers) post(ctx context.Context, addr, path string, in, out any, timeout time.Duration) error {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,9 +1,11 @@
-// Package registrar keeps the agreed record on three or five machines: a raft node from a library round the decisions of
-// internal/decide/statemachine, its disk, and the HTTP that dispatchers, operators and other registrars speak with it.
+// Package registrar implements a registrar: a member of the Raft group, of three or five machines, that replicates the
+// configuration ("accord"). It joins the etcd Raft library with the state machine in internal/decide/statemachine, a store
+// on the local disk, and an HTTP server for dispatchers (the gateways, which hold read leases on the configuration),
+// operators and other registrars.
 //
-// Each part is a task that owns its state and its sockets, and talks with the others by messages: the node owns the
-// library's state machine, the record and what the leader has heard; the store owns the disk; each peer its connection;
-// each session, a goroutine of net/http, its question.
+// The parts run as goroutines that own their state and exchange messages: the node owns the Raft node, the replicated state
+// and, on the leader, what dispatchers have reported; the store owns the disk; each peer owns the connection to one other
+// registrar; each HTTP request runs in a goroutine of net/http, which sends its request to the node and waits for the answer.
 package registrar
 
 import (
@@ -32,33 +34,35 @@
 	"merlinarch/internal/decide/statemachine"
 )
 
-// Options are a registrar's.
+// Options are the settings of a registrar.
 type Options struct {
 	Cluster    string
 	Name       string
-	Listen     string            // address; empty: the one that Registrars has for Name
-	Registrars map[string]string // addresses by name, as this one reaches them
-	Dir        string            // of its disk
+	Listen     string            // address to listen on; empty: the address of Name in Registrars
+	Registrars map[string]string // addresses of all registrars by name, as reached from this one
+	Dir        string            // folder of the store
 	Terms      lease.Terms
 	Budget     cordon.Budget
 	AutoCordon cordon.AutoPolicy
-	SlowStart  time.Duration // a server whose cordon was lifted is cold for so long
+	SlowStart  time.Duration // slow start of a server after its cordon is lifted
 	Schedule   schedule.Settings
 	Clock      accord.Clock
-	WallClock  func() time.Time // wall clock, for what is written down; nil: the machine's
+	WallClock  func() time.Time // wall clock, for the times in the replicated state; nil: time.Now
 }
 
+// storePath returns the path of the store's file.
 func (o Options) storePath() string { return filepath.Join(o.Dir, o.Name+".record") }
 
-// firstID is the identity of a registrar that a cluster begins with: all of them have to know it before any speaks.
+// initialID computes the ID of a registrar of a new cluster. It is derived from the name, because all registrars of a new
+// cluster have to know each other's IDs before any of them communicates.
 func initialID(cluster, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(cluster + "\x00" + name))
 	return h.Sum64() | 1
 }
 
-// Init makes the disk of one of the registrars that a cluster begins with. It is done once: a disk that is lost is
-// replaced by Join.
+// Init creates the store of one of the registrars of a new cluster. It may be done only once: a store that is lost is replaced
+// with Join.
 func Init(o Options) error {
 	state := statemachine.New(o.Budget, o.SlowStart.Milliseconds())
 	confState := &pb.ConfState{}
@@ -66,16 +70,16 @@
 		state.ReplaceRegistrar(name, statemachine.Registrar{ID: initialID(o.Cluster, name), Addr: addr})
 		confState.Voters = append(confState.Voters, initialID(o.Cluster, name))
 	}
-	text, err := json.Marshal(state)
+	data, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
-	return createStore(o.storePath(), Identity{Cluster: o.Cluster, Name: o.Name, ID: initialID(o.Cluster, o.Name)}, &pb.Snapshot{Data: text,
+	return createStore(o.storePath(), Identity{Cluster: o.Cluster, Name: o.Name, ID: initialID(o.Cluster, o.Name)}, &pb.Snapshot{Data: data,
 		Metadata: &pb.SnapshotMetadata{ConfState: confState, Index: proto.Uint64(1), Term: proto.Uint64(1)}})
 }
 
-// Join makes the disk of a registrar that comes in, or takes the place of one of its name whose disk is lost. The others
-// have agreed to it by then.
+// Join adds a registrar to the cluster, or replaces the registrar of the same name whose store is lost. It creates the store
+// after the other registrars have committed the membership change.
 func Join(ctx context.Context, o Options) error {
 	var randomID [8]byte
 	rand.Read(randomID[:])
@@ -93,14 +97,15 @@
 	return createStore(o.storePath(), Identity{Cluster: o.Cluster, Name: o.Name, ID: id}, nil)
 }
 
-// Errors of running.
+// Errors that end Run.
 var (
-	ErrStaleStore    = errors.New("the others have seen promises that are not on this disk: it is an old copy; replace this registrar")
-	errNotConfigured = errors.New("the settings name no registrar of this name")
-	errOtherStore    = errors.New("the disk is another cluster's, or another registrar's")
+	ErrStaleStore    = errors.New("the store is an old copy: other registrars have seen later promises from this one; replace this registrar")
+	errNotConfigured = errors.New("the settings have no registrar of this name")
+	errOtherStore    = errors.New("the store belongs to another cluster or to another registrar")
 )
 
-// Run keeps the record until ctx ends, or until this registrar can't go on.
+// Run runs a registrar until ctx ends, or until an error keeps it from going on. Of these, ErrStaleStore, ErrRemoved,
+// ErrNoStore and ErrCorrupt mean that it has to be replaced.
 func Run(ctx context.Context, o Options, log *zap.Logger) (err error) {
 	if o.WallClock == nil {
 		o.WallClock = time.Now
@@ -151,8 +156,9 @@
 		runStore(store, storeInbox, storeDone, func(m []*pb.Message) { nodeInbox.put(storeResponses{m}) }, func(err error) { nodeInbox.put(failure{err}) })
 	})
 	defer close(storeDone)
-	log.Info("registrar", zap.String("name", o.Name), zap.String("listen", listener.Addr().String()), zap.Uint64("start", store.id.Boots))
-	// Danger: with an old copy of its disk it would promise, in terms that are over, what it had promised otherwise.
+	log.Info("registrar started", zap.String("name", o.Name), zap.String("listen", listener.Addr().String()), zap.Uint64("start", store.id.Boots))
+	// With an old copy of its store, this registrar could vote or acknowledge again, differently, in terms in which it has
+	// already done so.
 	if err := verifyWithPeers(ctx, o, store, peers, log); err != nil {
 		if ctx.Err() != nil {
 			return nil
@@ -169,7 +175,7 @@
 	done := make(chan struct{})
 	go func() {
 		<-ctx.Done()
-		nodeInbox.put(leadershipTransfer{}) // the others need not wait until they miss this one
+		nodeInbox.put(leadershipTransfer{}) // spares the others an election timeout
 		select {
 		case <-time.After(2 * electionTicks * tickEvery(o.Terms)):
 		case <-running.Done():
@@ -178,11 +184,11 @@
 	}()
 	defer stop()
 	err = n.run(done)
-	log.Info("ends", zap.Error(err))
+	log.Info("registrar stopped", zap.Error(err))
 	return err
 }
 
-// ticks is the library's clock. What a stop of the process swallowed is not made up for.
+// runTicker sends the ticks of the Raft library's clock. Ticks that are missed while the process is paused are not made up for.
 func runTicker(ctx context.Context, t lease.Terms, inbox *mailbox[any]) {
 	every := time.NewTicker(tickEvery(t))
 	defer every.Stop()
@@ -196,19 +202,19 @@
 	}
 }
 
-// Hello is what a registrar tells the others before it takes part.
+// Hello is what a registrar sends the others before it takes part, so that they can tell an old copy of its store.
 type Hello struct {
 	Cluster    string `json:"cluster"`
 	Name       string `json:"name"`
 	ID         uint64 `json:"id"`
 	Boots      uint64 `json:"boots"`
-	StartToken string `json:"start"` // drawn at this start
-	LastIndex  uint64 `json:"last"`  // entries up to here are on its disk
+	StartToken string `json:"start"` // random, new at each start
+	LastIndex  uint64 `json:"last"`  // index of the last log entry in its store
 	Term       uint64 `json:"term"`
 }
 
-// greet asks the others whether they have seen promises that this disk does not have. All are waited for, for a lease's
-// length; after that, enough of them that with this one they are a majority.
+// verifyWithPeers asks the other registrars whether they have seen promises from this one that its store doesn't have. It
+// waits for all of them for the length of a lease, and after that for as many as make a majority together with this one.
 func verifyWithPeers(ctx context.Context, o Options, store *store, peers *peers, log *zap.Logger) error {
 	snapshot, err := store.memory.Snapshot()
 	if err != nil {
@@ -255,7 +261,7 @@
 		}
 		if !warned && time.Since(began) > o.Terms.Length {
 			warned = true
-			log.Warn("waits for other registrars before it takes part", zap.Int("heard", answered), zap.Int("needed", needed))
+			log.Warn("waiting for other registrars before taking part", zap.Int("heard", answered), zap.Int("needed", needed))
 		}
 		select {
 		case <-ctx.Done():
@@ -266,9 +272,10 @@
 	return nil
 }
 
+// codeStaleStore is the code of the refusal of an old copy of a store.
 const codeStaleStore = "lost"
 
-// quiet hands the library's own log on; what it says of every message is too much.
+// raftLogger passes the Raft library's log on, with warnings and infos at debug level, because the library logs most messages.
 type raftLogger struct{ *zap.SugaredLogger }
 
 func (q raftLogger) Warning(v ...any)            { q.Debug(v...) }
--- a/internal/registrar/task.go
+++ b/internal/registrar/task.go
@@ -6,16 +6,18 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// mailbox is a queue between two tasks that never blocks its sender: two tasks that write to each other would stand
-// still for ever where both queues are full. What may be put in is bounded by those who put it in.
+// mailbox is an unbounded queue between goroutines. Its sender never blocks, because two goroutines that send to each other
+// would deadlock if both their queues were full. The senders bound how much they put in.
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	queue []T
-	wake  chan struct{} // holds a token while something is there
+	wake  chan struct{} // holds a token while the queue isn't empty
 }
 
+// newMailbox returns an empty mailbox.
 func newMailbox[T any]() *mailbox[T] { return &mailbox[T]{wake: make(chan struct{}, 1)} }
 
+// put appends to the queue and wakes its receiver.
 func (m *mailbox[T]) put(v ...T) {
 	m.mu.Lock()
 	m.queue = append(m.queue, v...)
@@ -26,7 +28,7 @@
 	}
 }
 
-// take empties the queue.
+// take empties the queue and returns what was in it.
 func (m *mailbox[T]) take() []T {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,14 +37,15 @@
 	return l
 }
 
-// toStore is one message to the store's task.
+// storeRequest asks the store's goroutine to write something.
 type storeRequest struct {
 	append   *pb.Message
-	batch    batch // what else is to be written: steps, marks, a snapshot
-	finished func(error)
+	batch    batch       // what else is to be written: steps, watermarks, a snapshot
+	finished func(error) // called after the write, or nil
 }
 
-// runStore is the task that owns the disk. It writes all that waits under one sync, then lets the answers go.
+// runStore is the main loop of the goroutine that owns the store. It writes all queued requests with one sync of the disk and
+// then releases the responses that depend on them.
 func runStore(s *store, inbox *mailbox[storeRequest], done <-chan struct{}, deliver func([]*pb.Message), failed func(error)) {
 	for {
 		select {
@@ -76,8 +79,8 @@
 				request.finished(err)
 			}
 		}
-		// Danger: what a failing disk may or may not hold must never be told as written. This registrar ends, and
-		// comes back with what the disk has.
+		// After a failed write it is unknown what the disk holds, and nothing may be acknowledged as written. This
+		// registrar ends; at its next start it goes on from what is on the disk.
 		if err != nil {
 			failed(err)
 			return
