--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -113,8 +113,8 @@
 // raft passes another registrar's Raft messages on to the node.
 func (f *frontend) raft(r *http.Request) any {
 	var batch raftBatch
-	if wrong := f.readBody(r, maxRaftBody, &batch, &batch.Cluster); wrong != nil {
-		return wrong
+	if problem := f.readBody(r, maxRaftBody, &batch, &batch.Cluster); problem != nil {
+		return problem
 	}
 	n := f.running.Load()
 	if n == nil {
@@ -131,16 +131,16 @@
 		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
 		return accord.NewProblem(accord.CodeWrong, "no registrar of this name is known")
 	}
-	messages := raftMessages{fromName: batch.From, fromID: batch.FromID, boots: batch.Boots}
-	for _, text := range batch.Messages {
+	received := raftMessages{fromName: batch.From, fromID: batch.FromID, boots: batch.Boots}
+	for _, encoded := range batch.Messages {
 		m := &pb.Message{}
-		if err := proto.Unmarshal(text, m); err != nil || m.GetFrom() != batch.FromID || m.GetTo() != f.id.ID {
+		if err := proto.Unmarshal(encoded, m); err != nil || m.GetFrom() != batch.FromID || m.GetTo() != f.id.ID {
 			f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="unreadable"}`).Inc()
 			return accord.NewProblem(accord.CodeWrong, "a message that can't be decoded, or with another sender or receiver than its batch")
 		}
-		messages.messages = append(messages.messages, m)
+		received.messages = append(received.messages, m)
 	}
-	f.nodeInbox.put(messages)
+	f.nodeInbox.put(received)
 	return struct{}{}
 }
 
@@ -155,8 +155,8 @@
 // answer is sent.
 func (f *frontend) hello(r *http.Request) any {
 	var h Hello
-	if wrong := f.readBody(r, accord.MaxBody, &h, &h.Cluster); wrong != nil {
-		return wrong
+	if problem := f.readBody(r, accord.MaxBody, &h, &h.Cluster); problem != nil {
+		return problem
 	}
 	if _, ok := f.opts.Registrars[h.Name]; !ok {
 		f.counters.GetOrCreateCounter(`registrar_messages_refused_total{why="stranger"}`).Inc()
@@ -171,15 +171,15 @@
 			return v
 		}
 	} else { // this registrar is starting too: it knows only the watermarks in its store
-		var p *accord.Problem
+		var refusal *accord.Problem
 		f.mu.Lock()
-		watermark, p = f.watermarks[h.ID].verify(h)
-		if p == nil {
+		watermark, refusal = f.watermarks[h.ID].verify(h)
+		if refusal == nil {
 			f.watermarks[h.ID] = watermark
 		}
 		f.mu.Unlock()
-		if p != nil {
-			return p
+		if refusal != nil {
+			return refusal
 		}
 	}
 	written := make(chan error, 1)
@@ -208,8 +208,8 @@
 // enrol registers a dispatcher and gives it an incarnation.
 func (f *frontend) enrol(r *http.Request) any {
 	var e accord.Enrol
-	if wrong := f.readBody(r, accord.MaxBody, &e, &e.Cluster); wrong != nil {
-		return wrong
+	if problem := f.readBody(r, accord.MaxBody, &e, &e.Cluster); problem != nil {
+		return problem
 	}
 	if e.Terms != f.opts.Terms {
 		return accord.NewProblem(accord.CodeTerms, "lease, beat, send or drift differ from this registrar's settings")
@@ -230,8 +230,8 @@
 func (f *frontend) beat(r *http.Request) any {
 	at := f.opts.Clock.Now()
 	var b accord.Beat
-	if wrong := f.readBody(r, accord.MaxBody, &b, &b.Cluster); wrong != nil {
-		return wrong
+	if problem := f.readBody(r, accord.MaxBody, &b, &b.Cluster); problem != nil {
+		return problem
 	}
 	return f.askNode(r, func(reply func(any)) any { return &readRequest{receivedAt: at, beat: &b, reply: reply} })
 }
@@ -239,8 +239,8 @@
 // change proposes an operator's changes.
 func (f *frontend) change(r *http.Request) any {
 	var a accord.Ask
-	if wrong := f.readBody(r, accord.MaxBody, &a, &a.Cluster); wrong != nil {
-		return wrong
+	if problem := f.readBody(r, accord.MaxBody, &a, &a.Cluster); problem != nil {
+		return problem
 	}
 	v := f.askNode(r, func(reply func(any)) any { return proposal{statemachine.Entry{Ask: &a.ChangeRequest}, reply} })
 	if res, ok := v.(statemachine.Result); ok {
@@ -252,8 +252,8 @@
 // retire proposes that a dispatcher is no longer waited for.
 func (f *frontend) retire(r *http.Request) any {
 	var q accord.Retire
-	if wrong := f.readBody(r, accord.MaxBody, &q, &q.Cluster); wrong != nil {
-		return wrong
+	if problem := f.readBody(r, accord.MaxBody, &q, &q.Cluster); problem != nil {
+		return problem
 	}
 	v := f.askNode(r, func(reply func(any)) any {
 		return proposal{statemachine.Entry{Retire: &statemachine.Retire{Name: q.Name, Author: q.Author, Reason: q.Reason, Forced: q.Forced}}, reply}
@@ -270,8 +270,8 @@
 // members proposes a membership change of the registrars.
 func (f *frontend) members(r *http.Request) any {
 	var m MembershipChange
-	if wrong := f.readBody(r, accord.MaxBody, &m, &m.Cluster); wrong != nil {
-		return wrong
+	if problem := f.readBody(r, accord.MaxBody, &m, &m.Cluster); problem != nil {
+		return problem
 	}
 	v := f.askNode(r, func(reply func(any)) any { return membershipRequest{m, reply} })
 	if _, ok := v.(statemachine.Result); ok {
--- a/internal/registrar/members.go
+++ b/internal/registrar/members.go
@@ -61,9 +61,9 @@
 		m.reply(accord.NewProblem(accord.CodeBusy, "the leader has just been elected"))
 		return
 	}
-	confChange, p := n.newConfChange(m.change)
-	if p != nil {
-		m.reply(p)
+	confChange, problem := n.newConfChange(m.change)
+	if problem != nil {
+		m.reply(problem)
 		return
 	}
 	if err := n.rawNode.ProposeConfChange(confChange); err != nil {
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -469,32 +469,32 @@
 
 // publish replaces the view that other goroutines read.
 func (n *node) publish() {
-	s := &view{document: n.state.Book.Document, registrars: n.state.Registrars, formerIDs: n.state.FormerRegistrarIDs,
+	next := &view{document: n.state.Book.Document, registrars: n.state.Registrars, formerIDs: n.state.FormerRegistrarIDs,
 		replaced: make(chan struct{}), role: accord.Role{Name: n.id.Name, Leader: n.leaderName(),
 			Leads: n.leading, Term: n.rawNode.BasicStatus().GetTerm(), Applied: n.appliedIndex, Version: n.state.Book.Document.Head.Version}}
-	if was := n.published.Swap(s); was != nil {
-		close(was.replaced)
+	if previous := n.published.Swap(next); previous != nil {
+		close(previous.replaced)
 	}
 }
 
 // installSnapshot replaces the state by a snapshot that the leader sent.
-func (n *node) installSnapshot(snap *pb.Snapshot) {
-	s, err := decodeState(snap)
+func (n *node) installSnapshot(snapshot *pb.Snapshot) {
+	state, err := decodeState(snapshot)
 	if err != nil {
 		n.inbox.put(failure{err})
 		return
 	}
-	n.state, n.appliedIndex, n.confState, n.snapshotIndex = s, snap.Metadata.GetIndex(), snap.Metadata.ConfState, snap.Metadata.GetIndex()
-	n.appliedTerm = snap.Metadata.GetTerm()
-	n.peers.update(s.Registrars)
-	n.log.Info("installed a snapshot from the leader", zap.Uint64("index", n.appliedIndex), zap.Uint64("version", s.Book.Document.Head.Version))
+	n.state, n.appliedIndex, n.confState, n.snapshotIndex = state, snapshot.Metadata.GetIndex(), snapshot.Metadata.ConfState, snapshot.Metadata.GetIndex()
+	n.appliedTerm = snapshot.Metadata.GetTerm()
+	n.peers.update(state.Registrars)
+	n.log.Info("installed a snapshot from the leader", zap.Uint64("index", n.appliedIndex), zap.Uint64("version", state.Book.Document.Head.Version))
 	n.publish()
 }
 
 // queueSnapshot has a snapshot of the state written, so that the log before it can be dropped.
 func (n *node) queueSnapshot() {
 	n.snapshotIndex, n.confChanged = n.appliedIndex, false
-	text, err := json.Marshal(n.state)
+	data, err := json.Marshal(n.state)
 	if err != nil {
 		n.inbox.put(failure{fmt.Errorf("encode snapshot: %w", err)})
 		return
@@ -504,49 +504,49 @@
 	if n.appliedIndex > keptLogEntries {
 		keep = n.appliedIndex - keptLogEntries
 	}
-	n.storeInbox.put(storeRequest{batch: batch{keepFrom: keep, snapshot: &pb.Snapshot{Data: text,
+	n.storeInbox.put(storeRequest{batch: batch{keepFrom: keep, snapshot: &pb.Snapshot{Data: data,
 		Metadata: &pb.SnapshotMetadata{ConfState: n.confState, Index: proto.Uint64(n.appliedIndex), Term: proto.Uint64(term)}}}})
 }
 
 // queueRead queues a read until leadership is proved. A beat is recorded with the lease tracker here, before its lease is
 // granted; otherwise a dispatcher could hold a lease that the tracker doesn't know.
-func (n *node) queueRead(a *readRequest) {
+func (n *node) queueRead(read *readRequest) {
 	switch {
 	case !n.leading:
-		a.reply(n.notLeader())
+		read.reply(n.notLeader())
 		return
 	case !n.appliedOwnTerm || len(n.queuedReads) >= maxQueuedReads:
-		a.reply(accord.NewProblem(accord.CodeBusy, "the leader has just been elected or is overloaded"))
+		read.reply(accord.NewProblem(accord.CodeBusy, "the leader has just been elected or is overloaded"))
 		return
 	}
-	if b := a.beat; b != nil {
-		if m, ok := n.state.Members[b.Name]; !ok || m.Incarnation != b.Life {
-			a.reply(accord.NewProblem(accord.CodeLife, "this incarnation of the dispatcher is not registered"))
+	if beat := read.beat; beat != nil {
+		if m, ok := n.state.Members[beat.Name]; !ok || m.Incarnation != beat.Life {
+			read.reply(accord.NewProblem(accord.CodeLife, "this incarnation of the dispatcher is not registered"))
 			return
 		}
-		_, held, _ := n.leases.LastBeat(b.Name, b.Life)
-		a.leaseLength = n.state.LeaseLength(n.opts.Terms, n.state.Members[b.Name].Site, n.unixMs())
-		n.leases.RecordBeat(a.receivedAt, b.Name, b.Life, b.Holds, a.leaseLength)
-		n.dueMayHaveChanged = n.dueMayHaveChanged || b.Holds > held
-		if len(b.Listed) > 0 {
-			n.serverLists[b.Name] = serverList{b.List, b.Listed}
+		_, held, _ := n.leases.LastBeat(beat.Name, beat.Life)
+		read.leaseLength = n.state.LeaseLength(n.opts.Terms, n.state.Members[beat.Name].Site, n.unixMs())
+		n.leases.RecordBeat(read.receivedAt, beat.Name, beat.Life, beat.Holds, read.leaseLength)
+		n.dueMayHaveChanged = n.dueMayHaveChanged || beat.Holds > held
+		if len(beat.Listed) > 0 {
+			n.serverLists[beat.Name] = serverList{beat.List, beat.Listed}
 		}
-		if b.Reports != nil {
-			n.hostEvidence[b.Name] = cordon.AccumulateEvidence(n.hostEvidence[b.Name], b.Reports)
+		if beat.Reports != nil {
+			n.hostEvidence[beat.Name] = cordon.AccumulateEvidence(n.hostEvidence[beat.Name], beat.Reports)
 		}
-		n.clockOffsets[b.Name] = time.UnixMilli(b.Unix).Sub(n.opts.WallClock())
-		if len(b.Met) > 0 {
-			n.siteEvidence[b.Name] = siteReport{a.receivedAt, b.Met}
+		n.clockOffsets[beat.Name] = time.UnixMilli(beat.Unix).Sub(n.opts.WallClock())
+		if len(beat.Met) > 0 {
+			n.siteEvidence[beat.Name] = siteReport{read.receivedAt, beat.Met}
 		}
-		for _, e := range b.Ended {
+		for _, e := range beat.Ended {
 			n.propose(statemachine.Entry{Outcome: &e}, func(any) {})
 		}
-		if n.unknownKinds[b.Name] = b.Unknown; len(b.Unknown) == 0 {
-			delete(n.unknownKinds, b.Name)
+		if n.unknownKinds[beat.Name] = beat.Unknown; len(beat.Unknown) == 0 {
+			delete(n.unknownKinds, beat.Name)
 		}
 		n.counters.GetOrCreateCounter("registrar_beats_total").Inc()
 	}
-	n.queuedReads = append(n.queuedReads, a)
+	n.queuedReads = append(n.queuedReads, read)
 }
 
 // notLeader is the refusal that names the leader, or says that none is known.
@@ -572,15 +572,15 @@
 
 // replyToProvenReads answers the reads whose ReadIndex round has ended, once the state is applied up to their read index.
 func (n *node) replyToProvenReads() {
-	n.provenReads = slices.DeleteFunc(n.provenReads, func(p provenBatch) bool {
-		if p.index > n.appliedIndex {
+	n.provenReads = slices.DeleteFunc(n.provenReads, func(batch provenBatch) bool {
+		if batch.index > n.appliedIndex {
 			return false
 		}
-		for _, a := range p.reads {
-			if a.beat == nil {
-				a.reply(n.status())
+		for _, read := range batch.reads {
+			if read.beat == nil {
+				read.reply(n.status())
 			} else {
-				a.reply(n.grantLease(a.beat, a.leaseLength))
+				read.reply(n.grantLease(read.beat, read.leaseLength))
 			}
 		}
 		return true
@@ -588,17 +588,17 @@
 }
 
 // grantLease answers a beat with a lease on the newest version.
-func (n *node) grantLease(b *accord.Beat, length time.Duration) any {
-	if m := n.state.Members[b.Name]; m.Incarnation != b.Life {
+func (n *node) grantLease(beat *accord.Beat, length time.Duration) any {
+	if m := n.state.Members[beat.Name]; m.Incarnation != beat.Life {
 		return accord.NewProblem(accord.CodeLife, "a newer incarnation of the dispatcher has replaced this one")
 	}
-	d := n.state.Book.Document
-	g := accord.Granted{Cluster: n.opts.Cluster, Leader: n.id.Name, Version: d.Head.Version, LeaseNs: int64(length),
-		WantList: b.List != "" && n.serverLists[b.Name].digest != b.List, Tasks: n.state.Tasks(b.Name, b.Life)}
-	if b.Holds != d.Head.Version {
-		g.Document = &d
+	document := n.state.Book.Document
+	granted := accord.Granted{Cluster: n.opts.Cluster, Leader: n.id.Name, Version: document.Head.Version, LeaseNs: int64(length),
+		WantList: beat.List != "" && n.serverLists[beat.Name].digest != beat.List, Tasks: n.state.Tasks(beat.Name, beat.Life)}
+	if beat.Holds != document.Head.Version {
+		granted.Document = &document
 	}
-	return g
+	return granted
 }
 
 // propose proposes an entry to the Raft group; reply is called once it is applied, or can't be.
@@ -620,8 +620,8 @@
 				return
 			}
 		}
-		if p := n.findUnsupported(e.Ask); p != nil {
-			reply(p)
+		if problem := n.findUnsupported(e.Ask); problem != nil {
+			reply(problem)
 			return
 		}
 	}
@@ -646,11 +646,11 @@
 }
 
 // findUnsupported refuses a request with a kind of rule that some dispatcher doesn't understand, unless it is forced.
-func (n *node) findUnsupported(a *ruleset.ChangeRequest) *accord.Problem {
+func (n *node) findUnsupported(request *ruleset.ChangeRequest) *accord.Problem {
 	for name, m := range n.state.Members {
-		for _, c := range a.Changes {
+		for _, c := range request.Changes {
 			known := slices.Contains(ruleset.SupportedKinds, string(c.Kind)) // other kinds are refused when the entry is applied
-			if m.Incarnation != 0 && known && !a.Forced && !slices.Contains(m.KnownKinds, string(c.Kind)) {
+			if m.Incarnation != 0 && known && !request.Forced && !slices.Contains(m.KnownKinds, string(c.Kind)) {
 				return accord.NewProblem(accord.CodeWrong, fmt.Sprintf("dispatcher %s does not understand rules of kind %.40q: it would lose its lease", name, string(c.Kind)))
 			}
 		}
@@ -678,10 +678,10 @@
 // leaderView is what this leader knows beyond the replicated state.
 func (n *node) leaderView() statemachine.LeaderView {
 	now := n.opts.Clock.Now()
-	reports := map[string][]cordon.Evidence{}
+	hostEvidence := map[string][]cordon.Evidence{}
 	for name, r := range n.hostEvidence {
 		if n.isActive(name) {
-			reports[name] = r
+			hostEvidence[name] = r
 		}
 	}
 	siteEvidence := map[string][]contact.Evidence{}
@@ -690,7 +690,7 @@
 			siteEvidence[name] = e.evidence
 		}
 	}
-	return statemachine.LeaderView{Leases: n.leases, Now: now, ListServers: n.mergedServers, Reports: reports, AutoCordon: n.opts.AutoCordon, Elapsed: now - n.expiryCountedUntil,
+	return statemachine.LeaderView{Leases: n.leases, Now: now, ListServers: n.mergedServers, Reports: hostEvidence, AutoCordon: n.opts.AutoCordon, Elapsed: now - n.expiryCountedUntil,
 		SiteStates: contact.MergeEvidence(siteEvidence), UnixMs: n.unixMs(), Schedule: n.opts.Schedule}
 }
 
@@ -721,26 +721,26 @@
 }
 
 // failReads refuses all reads that wait for a proof of leadership.
-func (n *node) failReads(why string) {
+func (n *node) failReads(reason string) {
 	all := append(n.provingReads, n.queuedReads...)
-	for _, p := range n.provenReads {
-		all = append(all, p.reads...)
+	for _, batch := range n.provenReads {
+		all = append(all, batch.reads...)
 	}
 	n.provingReads, n.queuedReads, n.provenReads = nil, nil, nil
 	n.readIndexID++ // so that a late answer to the old round proves nothing
-	for _, a := range all {
-		a.reply(accord.NewProblem(accord.CodeBusy, why))
+	for _, read := range all {
+		read.reply(accord.NewProblem(accord.CodeBusy, reason))
 	}
 }
 
 // failAll refuses all requests that wait. A proposal may still be committed; asking again with the same key returns its
 // outcome.
-func (n *node) failAll(why string) {
-	n.failReads(why)
+func (n *node) failAll(reason string) {
+	n.failReads(reason)
 	waiting := n.replies
 	n.replies = map[string]func(any){}
 	for _, reply := range waiting {
-		reply(accord.NewProblem(accord.CodeBusy, why+": the change may still be committed; retry with the same key"))
+		reply(accord.NewProblem(accord.CodeBusy, reason+": the change may still be committed; retry with the same key"))
 	}
 }
 
@@ -761,18 +761,18 @@
 	if !n.leading {
 		return
 	}
-	best, match := uint64(0), uint64(0)
+	target, match := uint64(0), uint64(0)
 	n.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
 		if id != n.id.ID && pr.RecentActive && pr.Match >= match {
-			best, match = id, pr.Match
+			target, match = id, pr.Match
 		}
 	})
-	if best != 0 {
-		n.rawNode.TransferLeader(best)
+	if target != 0 {
+		n.rawNode.TransferLeader(target)
 	}
 }
 
 // countReason increments a counter that is labelled with a reason.
-func (n *node) countReason(name, why string) {
-	n.counters.GetOrCreateCounter(fmt.Sprintf("registrar_%s_total{why=%q}", name, why)).Inc()
+func (n *node) countReason(name, reason string) {
+	n.counters.GetOrCreateCounter(fmt.Sprintf("registrar_%s_total{why=%q}", name, reason)).Inc()
 }
--- a/internal/registrar/peers.go
+++ b/internal/registrar/peers.go
@@ -153,11 +153,11 @@
 		batch := raftBatch{Cluster: p.opts.Cluster, From: p.id.Name, FromID: p.id.ID, ToID: q.id, Boots: p.id.Boots}
 		snapshot := false
 		for _, m := range messages {
-			text, err := proto.Marshal(m)
+			encoded, err := proto.Marshal(m)
 			if err != nil {
 				continue
 			}
-			batch.Messages = append(batch.Messages, text)
+			batch.Messages = append(batch.Messages, encoded)
 			snapshot = snapshot || m.GetType() == pb.MsgSnap
 		}
 		timeout := p.opts.Terms.Length / 3
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -128,10 +128,10 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	counters := metrics.NewSet()
-	running, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	nodeInbox, storeInbox := newMailbox[any](), newMailbox[storeRequest]()
-	peers := newPeers(running, o, store.id, nodeInbox, counters)
+	peers := newPeers(runCtx, o, store.id, nodeInbox, counters)
 	f := &frontend{opts: o, id: store.id, store: store, nodeInbox: nodeInbox, storeInbox: storeInbox, counters: counters, log: log, stopped: make(chan struct{})}
 	if f.watermarks, err = store.watermarks(); err != nil {
 		listener.Close()
@@ -170,15 +170,15 @@
 		return err
 	}
 	f.running.Store(n)
-	tasks.Go(func() { runTicker(running, o.Terms, nodeInbox) })
-	tasks.Go(func() { backfillHistory(running, o, store, f, peers, storeInbox, log) })
+	tasks.Go(func() { runTicker(runCtx, o.Terms, nodeInbox) })
+	tasks.Go(func() { backfillHistory(runCtx, o, store, f, peers, storeInbox, log) })
 	done := make(chan struct{})
 	go func() {
 		<-ctx.Done()
 		nodeInbox.put(leadershipTransfer{}) // spares the others an election timeout
 		select {
 		case <-time.After(2 * electionTicks * tickEvery(o.Terms)):
-		case <-running.Done():
+		case <-runCtx.Done():
 		}
 		close(done)
 	}()
--- a/internal/registrar/store.go
+++ b/internal/registrar/store.go
@@ -43,14 +43,14 @@
 }
 
 var (
-	bucketMeta     = []byte("meta")
-	bucketLog      = []byte("log")
-	bucketVersions = []byte("versions")
-	bucketMarks    = []byte("marks")
-
-	keyIdentity = []byte("identity")
-	keyHard     = []byte("hard")
-	keySnapshot = []byte("snapshot")
+	bucketMeta       = []byte("meta")
+	bucketLog        = []byte("log")
+	bucketVersions   = []byte("versions")
+	bucketWatermarks = []byte("marks")
+
+	keyIdentity  = []byte("identity")
+	keyHardState = []byte("hard")
+	keySnapshot  = []byte("snapshot")
 )
 
 // store keeps a registrar's identity, log, snapshot, history of versions and watermarks in one file. Each value starts with a
@@ -78,15 +78,15 @@
 }
 
 // verifyChecksum returns the value that addChecksum was given, or ErrCorrupt.
-func verifyChecksum(key, text []byte) ([]byte, error) {
-	if len(text) < 4 {
+func verifyChecksum(key, stored []byte) ([]byte, error) {
+	if len(stored) < 4 {
 		return nil, fmt.Errorf("%w (%s)", ErrCorrupt, key)
 	}
-	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, text[4:])
-	if binary.BigEndian.Uint32(text) != sum {
+	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, stored[4:])
+	if binary.BigEndian.Uint32(stored) != sum {
 		return nil, fmt.Errorf("%w (%x)", ErrCorrupt, key)
 	}
-	return text[4:], nil
+	return stored[4:], nil
 }
 
 // uint64Key encodes a number so that keys sort by it.
@@ -94,22 +94,22 @@
 
 // getValue reads a value and verifies its checksum; nil: there is none.
 func getValue(b *bbolt.Bucket, key []byte) ([]byte, error) {
-	text := b.Get(key)
-	if text == nil {
+	stored := b.Get(key)
+	if stored == nil {
 		return nil, nil
 	}
-	return verifyChecksum(key, text)
+	return verifyChecksum(key, stored)
 }
 
 // putValue writes a value with its checksum.
 func putValue(b *bbolt.Bucket, key, value []byte) error { return b.Put(key, addChecksum(key, value)) }
 
 func putJSON(b *bbolt.Bucket, key []byte, v any) error {
-	text, err := json.Marshal(v)
+	value, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return putValue(b, key, text)
+	return putValue(b, key, value)
 }
 
 // openFile opens the store's file for writing.
@@ -145,7 +145,7 @@
 		return err
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{bucketMeta, bucketLog, bucketVersions, bucketMarks} {
+		for _, name := range [][]byte{bucketMeta, bucketLog, bucketVersions, bucketWatermarks} {
 			if _, err := tx.CreateBucket(name); err != nil {
 				return err
 			}
@@ -157,18 +157,18 @@
 		if initial == nil {
 			return nil
 		}
-		text, err := proto.Marshal(initial)
+		value, err := proto.Marshal(initial)
 		if err != nil {
 			return err
 		}
-		if err := putValue(meta, keySnapshot, text); err != nil {
+		if err := putValue(meta, keySnapshot, value); err != nil {
 			return err
 		}
-		hard, err := proto.Marshal(&pb.HardState{Term: initial.Metadata.Term, Vote: new(uint64), Commit: initial.Metadata.Index})
+		hardState, err := proto.Marshal(&pb.HardState{Term: initial.Metadata.Term, Vote: new(uint64), Commit: initial.Metadata.Index})
 		if err != nil {
 			return err
 		}
-		return putValue(meta, keyHard, hard)
+		return putValue(meta, keyHardState, hardState)
 	})
 	if err = errors.Join(err, db.Close()); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -273,22 +273,22 @@
 // load reads the identity, the snapshot and the log, and counts this start.
 func (s *store) load() error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
-		if meta == nil || log == nil || tx.Bucket(bucketVersions) == nil || tx.Bucket(bucketMarks) == nil {
+		meta, logBucket := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
+		if meta == nil || logBucket == nil || tx.Bucket(bucketVersions) == nil || tx.Bucket(bucketWatermarks) == nil {
 			return ErrCorrupt
 		}
-		text, err := getValue(meta, keyIdentity)
+		value, err := getValue(meta, keyIdentity)
 		if err != nil {
 			return err
 		}
-		if json.Unmarshal(text, &s.id) != nil || s.id.ID == 0 {
+		if json.Unmarshal(value, &s.id) != nil || s.id.ID == 0 {
 			return fmt.Errorf("identity: %w", ErrCorrupt)
 		}
-		if text, err = getValue(meta, keySnapshot); err != nil {
+		if value, err = getValue(meta, keySnapshot); err != nil {
 			return err
-		} else if text != nil {
+		} else if value != nil {
 			var snapshot pb.Snapshot
-			if err := proto.Unmarshal(text, &snapshot); err != nil {
+			if err := proto.Unmarshal(value, &snapshot); err != nil {
 				return fmt.Errorf("snapshot: %w", ErrCorrupt)
 			}
 			if err := s.memory.ApplySnapshot(&snapshot); err != nil {
@@ -296,17 +296,17 @@
 			}
 		}
 		var hardState pb.HardState
-		if text, err = getValue(meta, keyHard); err != nil {
+		if value, err = getValue(meta, keyHardState); err != nil {
 			return err
-		} else if text != nil {
-			if err := proto.Unmarshal(text, &hardState); err != nil {
+		} else if value != nil {
+			if err := proto.Unmarshal(value, &hardState); err != nil {
 				return fmt.Errorf("hard state: %w", ErrCorrupt)
 			}
 		}
 		first, _ := s.memory.FirstIndex()
 		var entries []*pb.Entry
 		next := first
-		for v := log.Get(uint64Key(next)); v != nil; v = log.Get(uint64Key(next)) {
+		for v := logBucket.Get(uint64Key(next)); v != nil; v = logBucket.Get(uint64Key(next)) {
 			value, err := verifyChecksum(uint64Key(next), v)
 			if err != nil {
 				return err
@@ -318,7 +318,7 @@
 			entries = append(entries, e)
 			next++
 		}
-		if k, _ := log.Cursor().Last(); k != nil && binary.BigEndian.Uint64(k) >= next {
+		if k, _ := logBucket.Cursor().Last(); k != nil && binary.BigEndian.Uint64(k) >= next {
 			return fmt.Errorf("log entry %d is missing: %w", next, ErrCorrupt)
 		}
 		if err := s.memory.Append(entries); err != nil {
@@ -357,9 +357,9 @@
 		}
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
+		meta, logBucket := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 		for _, m := range b.messages {
-			if err := appendMessage(meta, log, m); err != nil {
+			if err := appendMessage(meta, logBucket, m); err != nil {
 				return err
 			}
 		}
@@ -369,7 +369,7 @@
 			}
 		}
 		for id, m := range b.watermarks {
-			if err := putJSON(tx.Bucket(bucketMarks), uint64Key(id), m); err != nil {
+			if err := putJSON(tx.Bucket(bucketWatermarks), uint64Key(id), m); err != nil {
 				return err
 			}
 		}
@@ -379,7 +379,7 @@
 		if err := putSnapshot(meta, b.snapshot); err != nil {
 			return err
 		}
-		return dropBefore(log, b.keepFrom)
+		return dropBefore(logBucket, b.keepFrom)
 	})
 	if err != nil {
 		s.writeErr = fmt.Errorf("write to the store: %w", err)
@@ -396,8 +396,8 @@
 				return err
 			}
 		}
-		if hard := hardStateOf(m); hard != nil {
-			if err := s.memory.SetHardState(hard); err != nil {
+		if hardState := hardStateOf(m); hardState != nil {
+			if err := s.memory.SetHardState(hardState); err != nil {
 				return err
 			}
 		}
@@ -431,44 +431,44 @@
 
 // putSnapshot writes a snapshot.
 func putSnapshot(meta *bbolt.Bucket, snapshot *pb.Snapshot) error {
-	text, err := proto.Marshal(snapshot)
+	value, err := proto.Marshal(snapshot)
 	if err != nil {
 		return err
 	}
-	return putValue(meta, keySnapshot, text)
+	return putValue(meta, keySnapshot, value)
 }
 
 // appendMessage writes the snapshot, the hard state and the log entries of a message.
-func appendMessage(meta, log *bbolt.Bucket, m *pb.Message) error {
+func appendMessage(meta, logBucket *bbolt.Bucket, m *pb.Message) error {
 	if !raft.IsEmptySnap(m.Snapshot) {
 		if err := putSnapshot(meta, m.Snapshot); err != nil {
 			return err
 		}
-		if err := dropFrom(log, 0); err != nil { // the snapshot covers the entries before it; those after it belong to another history
+		if err := dropFrom(logBucket, 0); err != nil { // the snapshot covers the entries before it; those after it belong to another history
 			return err
 		}
 	}
-	if hard := hardStateOf(m); hard != nil {
-		text, err := proto.Marshal(hard)
+	if hardState := hardStateOf(m); hardState != nil {
+		value, err := proto.Marshal(hardState)
 		if err != nil {
 			return err
 		}
-		if err := putValue(meta, keyHard, text); err != nil {
+		if err := putValue(meta, keyHardState, value); err != nil {
 			return err
 		}
 	}
 	if len(m.Entries) == 0 {
 		return nil
 	}
-	if err := dropFrom(log, m.Entries[0].GetIndex()); err != nil {
+	if err := dropFrom(logBucket, m.Entries[0].GetIndex()); err != nil {
 		return err
 	}
 	for _, e := range m.Entries {
-		text, err := proto.Marshal(e)
+		value, err := proto.Marshal(e)
 		if err != nil {
 			return err
 		}
-		if err := putValue(log, uint64Key(e.GetIndex()), text); err != nil {
+		if err := putValue(logBucket, uint64Key(e.GetIndex()), value); err != nil {
 			return err
 		}
 	}
@@ -476,8 +476,8 @@
 }
 
 // dropFrom deletes the log entries from an index on.
-func dropFrom(log *bbolt.Bucket, from uint64) error {
-	c := log.Cursor()
+func dropFrom(logBucket *bbolt.Bucket, from uint64) error {
+	c := logBucket.Cursor()
 	for k, _ := c.Seek(uint64Key(from)); k != nil; k, _ = c.Seek(uint64Key(from)) {
 		if err := c.Delete(); err != nil {
 			return err
@@ -487,8 +487,8 @@
 }
 
 // dropBefore deletes the log entries before an index.
-func dropBefore(log *bbolt.Bucket, before uint64) error {
-	c := log.Cursor()
+func dropBefore(logBucket *bbolt.Bucket, before uint64) error {
+	c := logBucket.Cursor()
 	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < before; k, _ = c.First() {
 		if err := c.Delete(); err != nil {
 			return err
@@ -499,43 +499,43 @@
 
 // watermarks reads the watermarks of the other registrars, by ID.
 func (s *store) watermarks() (map[uint64]Watermark, error) {
-	out := map[uint64]Watermark{}
+	watermarks := map[uint64]Watermark{}
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucketMarks).ForEach(func(k, v []byte) error {
-			text, err := verifyChecksum(k, v)
+		return tx.Bucket(bucketWatermarks).ForEach(func(k, v []byte) error {
+			value, err := verifyChecksum(k, v)
 			if err != nil {
 				return err
 			}
 			var m Watermark
-			if err := json.Unmarshal(text, &m); err != nil {
+			if err := json.Unmarshal(value, &m); err != nil {
 				return fmt.Errorf("watermark: %w", ErrCorrupt)
 			}
-			out[binary.BigEndian.Uint64(k)] = m
+			watermarks[binary.BigEndian.Uint64(k)] = m
 			return nil
 		})
 	})
-	return out, err
+	return watermarks, err
 }
 
 // steps reads the history of versions from a version on, at most limit of them.
 func (s *store) steps(from uint64, limit int) ([]ruleset.Step, error) {
-	var out []ruleset.Step
+	var steps []ruleset.Step
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(bucketVersions).Cursor()
-		for k, v := c.Seek(uint64Key(from)); k != nil && len(out) < limit; k, v = c.Next() {
-			text, err := verifyChecksum(k, v)
+		for k, v := c.Seek(uint64Key(from)); k != nil && len(steps) < limit; k, v = c.Next() {
+			value, err := verifyChecksum(k, v)
 			if err != nil {
 				return err
 			}
 			var step ruleset.Step
-			if err := json.Unmarshal(text, &step); err != nil {
+			if err := json.Unmarshal(value, &step); err != nil {
 				return fmt.Errorf("version: %w", ErrCorrupt)
 			}
-			out = append(out, step)
+			steps = append(steps, step)
 		}
 		return nil
 	})
-	return out, err
+	return steps, err
 }
 
 // decodeState decodes the replicated state in a snapshot.
