--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -20,8 +20,8 @@
 	"merlinarch/internal/decide/statemachine"
 )
 
-// frontend is the registrar's HTTP server. Each request runs in its own goroutine, which sends a message to the node and waits
-// for the answer.
+// frontend is the registrar's HTTP server. Each request runs in its own goroutine, which sends a message to the node
+// and waits for the answer.
 type frontend struct {
 	opts       Options
 	id         Identity
@@ -151,8 +151,8 @@
 	return configured || isMember
 }
 
-// hello tells a registrar that starts whether its store is up to date. The new watermark is on this registrar's disk before the
-// answer is sent.
+// hello tells a registrar that starts whether its store is up to date. The new watermark is on this registrar's disk
+// before the answer is sent.
 func (f *frontend) hello(r *http.Request) any {
 	var h Hello
 	if problem := f.readBody(r, accord.MaxBody, &h, &h.Cluster); problem != nil {
@@ -280,8 +280,8 @@
 	return v
 }
 
-// watch waits until there is a version newer than the client's, and returns the newest one; it returns none if there is none in
-// time.
+// watch waits until there is a version newer than the client's, and returns the newest one; it returns none if there is
+// none in time.
 func (f *frontend) watch(r *http.Request) any {
 	q := r.URL.Query()
 	if q.Get("cluster") != f.opts.Cluster {
--- a/internal/registrar/history.go
+++ b/internal/registrar/history.go
@@ -38,9 +38,9 @@
 // maxStepsPerRead bounds the versions that are read from the store at once.
 const maxStepsPerRead = 64
 
-// backfillHistory runs in a goroutine and fetches the versions that this registrar's store lacks. A registrar that joined, or
-// installed a snapshot, has the present state only; until it fetches them, earlier versions are on the other registrars' disks
-// alone.
+// backfillHistory runs in a goroutine and fetches the versions that this registrar's store lacks. A registrar that
+// joined, or installed a snapshot, has the present state only; until it fetches them, earlier versions are on the other
+// registrars' disks alone.
 func backfillHistory(ctx context.Context, o Options, store *store, front *frontend, peers *peers, storeInbox *mailbox[storeRequest], log *zap.Logger) {
 	checkedUntil := uint64(2) // no version below it is missing; version 1 is the same on all registrars
 	wait := func(d time.Duration) bool {
@@ -82,8 +82,8 @@
 	}
 }
 
-// fetchHistory fetches versions from another registrar, starting with missing, and stores them if they continue the history in
-// the store.
+// fetchHistory fetches versions from another registrar, starting with missing, and stores them if they continue the
+// history in the store.
 func fetchHistory(ctx context.Context, store *store, peers *peers, addr string, missing uint64, storeInbox *mailbox[storeRequest]) error {
 	previousHash := ruleset.New(peers.opts.Budget, 0).Document.Head.Hash
 	if missing > 2 {
--- a/internal/registrar/members.go
+++ b/internal/registrar/members.go
@@ -19,8 +19,8 @@
 	ID      uint64 `json:"id,omitempty"`      // identity of the new registrar's store
 }
 
-// newConfChange builds the Raft configuration change for a request. A registrar that replaces another one of its name is added
-// in the same step that removes the old one, so that no majority ever counts both.
+// newConfChange builds the Raft configuration change for a request. A registrar that replaces another one of its name
+// is added in the same step that removes the old one, so that no majority ever counts both.
 func (n *node) newConfChange(m MembershipChange) (*pb.ConfChangeV2, *accord.Problem) {
 	current, isMember := n.state.Registrars[m.Name]
 	confChange := &pb.ConfChangeV2{}
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -32,8 +32,8 @@
 	maxQueuedReads   = 8192 // reads waiting for the next proof of leadership
 )
 
-// node owns the Raft node, the replicated state and, while this registrar leads, what dispatchers have reported to it. It
-// runs as one goroutine; all others reach it through its inbox.
+// node owns the Raft node, the replicated state and, while this registrar leads, what dispatchers have reported to it.
+// It runs as one goroutine; all others reach it through its inbox.
 type node struct {
 	opts       Options
 	id         Identity
@@ -508,8 +508,8 @@
 		Metadata: &pb.SnapshotMetadata{ConfState: n.confState, Index: proto.Uint64(n.appliedIndex), Term: proto.Uint64(term)}}}})
 }
 
-// queueRead queues a read until leadership is proved. A beat is recorded with the lease tracker here, before its lease is
-// granted; otherwise a dispatcher could hold a lease that the tracker doesn't know.
+// queueRead queues a read until leadership is proved. A beat is recorded with the lease tracker here, before its lease
+// is granted; otherwise a dispatcher could hold a lease that the tracker doesn't know.
 func (n *node) queueRead(read *readRequest) {
 	switch {
 	case !n.leading:
@@ -559,8 +559,8 @@
 	return p
 }
 
-// startReadIndex starts a ReadIndex round, in which the other registrars confirm that this one still leads. One round serves
-// all reads that are queued.
+// startReadIndex starts a ReadIndex round, in which the other registrars confirm that this one still leads. One round
+// serves all reads that are queued.
 func (n *node) startReadIndex() {
 	if len(n.queuedReads) == 0 || len(n.provingReads) > 0 || !n.leading || !n.appliedOwnTerm {
 		return
@@ -570,7 +570,8 @@
 	n.rawNode.ReadIndex([]byte(strconv.FormatUint(n.readIndexID, 10)))
 }
 
-// replyToProvenReads answers the reads whose ReadIndex round has ended, once the state is applied up to their read index.
+// replyToProvenReads answers the reads whose ReadIndex round has ended, once the state is applied up to their read
+// index.
 func (n *node) replyToProvenReads() {
 	n.provenReads = slices.DeleteFunc(n.provenReads, func(batch provenBatch) bool {
 		if batch.index > n.appliedIndex {
@@ -669,7 +670,8 @@
 	return cordon.MergeLists(lists)
 }
 
-// isActive reports whether a dispatcher may still hold a lease. What an inactive one reported doesn't count as evidence.
+// isActive reports whether a dispatcher may still hold a lease. What an inactive one reported doesn't count as
+// evidence.
 func (n *node) isActive(name string) bool {
 	m, ok := n.state.Members[name]
 	return ok && m.Incarnation != 0 && !n.leases.HasLapsed(n.opts.Clock.Now(), name, m.Incarnation)
@@ -694,8 +696,8 @@
 		SiteStates: contact.MergeEvidence(siteEvidence), UnixMs: n.unixMs(), Schedule: n.opts.Schedule}
 }
 
-// unixMs is the wall-clock time for the replicated state: this registrar's, corrected by the median offset of its own and the
-// dispatchers' clocks.
+// unixMs is the wall-clock time for the replicated state: this registrar's, corrected by the median offset of its own
+// and the dispatchers' clocks.
 func (n *node) unixMs() int64 {
 	return n.opts.WallClock().Add(lease.MedianOffset(slices.Collect(maps.Values(n.clockOffsets)))).UnixMilli()
 }
--- a/internal/registrar/peers.go
+++ b/internal/registrar/peers.go
@@ -24,8 +24,8 @@
 	maxPeers           = 16       // including registrars that the replicated state doesn't name yet
 )
 
-// raftBatch is the body of a request with Raft messages. It names its sender and its receiver, and any other receiver refuses
-// it: an address may since belong to another cluster, or to a registrar of the same name with a new store.
+// raftBatch is the body of a request with Raft messages. It names its sender and its receiver, and any other receiver
+// refuses it: an address may since belong to another cluster, or to a registrar of the same name with a new store.
 type raftBatch struct {
 	Cluster  string   `json:"cluster"`
 	From     string   `json:"from"`
@@ -94,8 +94,8 @@
 	}
 }
 
-// addUnlisted starts a peer for a registrar that has sent messages and that the replicated state doesn't name yet. A registrar
-// that joins needs this: it has to answer the leader before it has the state.
+// addUnlisted starts a peer for a registrar that has sent messages and that the replicated state doesn't name yet. A
+// registrar that joins needs this: it has to answer the leader before it has the state.
 func (p *peers) addUnlisted(name string, id uint64) {
 	addr, ok := p.opts.Registrars[name]
 	p.mu.Lock()
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,11 +1,12 @@
 // Package registrar implements a registrar: a member of the Raft group, of three or five machines, that replicates the
-// configuration ("accord"). It joins the etcd Raft library with the state machine in internal/decide/statemachine, a store
-// on the local disk, and an HTTP server for dispatchers (the gateways, which hold read leases on the configuration),
-// operators and other registrars.
+// configuration ("accord"). It joins the etcd Raft library with the state machine in internal/decide/statemachine, a
+// store on the local disk, and an HTTP server for dispatchers (the gateways, which hold read leases on the
+// configuration), operators and other registrars.
 //
-// The parts run as goroutines that own their state and exchange messages: the node owns the Raft node, the replicated state
-// and, on the leader, what dispatchers have reported; the store owns the disk; each peer owns the connection to one other
-// registrar; each HTTP request runs in a goroutine of net/http, which sends its request to the node and waits for the answer.
+// The parts run as goroutines that own their state and exchange messages: the node owns the Raft node, the replicated
+// state and, on the leader, what dispatchers have reported; the store owns the disk; each peer owns the connection to
+// one other registrar; each HTTP request runs in a goroutine of net/http, which sends its request to the node and waits
+// for the answer.
 package registrar
 
 import (
@@ -53,16 +54,16 @@
 // storePath returns the path of the store's file.
 func (o Options) storePath() string { return filepath.Join(o.Dir, o.Name+".record") }
 
-// initialID computes the ID of a registrar of a new cluster. It is derived from the name, because all registrars of a new
-// cluster have to know each other's IDs before any of them communicates.
+// initialID computes the ID of a registrar of a new cluster. It is derived from the name, because all registrars of a
+// new cluster have to know each other's IDs before any of them communicates.
 func initialID(cluster, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(cluster + "\x00" + name))
 	return h.Sum64() | 1
 }
 
-// Init creates the store of one of the registrars of a new cluster. It may be done only once: a store that is lost is replaced
-// with Join.
+// Init creates the store of one of the registrars of a new cluster. It may be done only once: a store that is lost is
+// replaced with Join.
 func Init(o Options) error {
 	state := statemachine.New(o.Budget, o.SlowStart.Milliseconds())
 	confState := &pb.ConfState{}
@@ -78,8 +79,8 @@
 		Metadata: &pb.SnapshotMetadata{ConfState: confState, Index: proto.Uint64(1), Term: proto.Uint64(1)}})
 }
 
-// Join adds a registrar to the cluster, or replaces the registrar of the same name whose store is lost. It creates the store
-// after the other registrars have committed the membership change.
+// Join adds a registrar to the cluster, or replaces the registrar of the same name whose store is lost. It creates the
+// store after the other registrars have committed the membership change.
 func Join(ctx context.Context, o Options) error {
 	var randomID [8]byte
 	rand.Read(randomID[:])
@@ -157,8 +158,8 @@
 	})
 	defer close(storeDone)
 	log.Info("registrar started", zap.String("name", o.Name), zap.String("listen", listener.Addr().String()), zap.Uint64("start", store.id.Boots))
-	// With an old copy of its store, this registrar could vote or acknowledge again, differently, in terms in which it has
-	// already done so.
+	// With an old copy of its store, this registrar could vote or acknowledge again, differently, in terms in which it
+	// has already done so.
 	if err := verifyWithPeers(ctx, o, store, peers, log); err != nil {
 		if ctx.Err() != nil {
 			return nil
@@ -188,7 +189,8 @@
 	return err
 }
 
-// runTicker sends the ticks of the Raft library's clock. Ticks that are missed while the process is paused are not made up for.
+// runTicker sends the ticks of the Raft library's clock. Ticks that are missed while the process is paused are not made
+// up for.
 func runTicker(ctx context.Context, t lease.Terms, inbox *mailbox[any]) {
 	every := time.NewTicker(tickEvery(t))
 	defer every.Stop()
@@ -213,8 +215,9 @@
 	Term       uint64 `json:"term"`
 }
 
-// verifyWithPeers asks the other registrars whether they have seen promises from this one that its store doesn't have. It
-// waits for all of them for the length of a lease, and after that for as many as make a majority together with this one.
+// verifyWithPeers asks the other registrars whether they have seen promises from this one that its store doesn't have.
+// It waits for all of them for the length of a lease, and after that for as many as make a majority together with this
+// one.
 func verifyWithPeers(ctx context.Context, o Options, store *store, peers *peers, log *zap.Logger) error {
 	snapshot, err := store.memory.Snapshot()
 	if err != nil {
@@ -275,7 +278,8 @@
 // codeStaleStore is the code of the refusal of an old copy of a store.
 const codeStaleStore = "lost"
 
-// raftLogger passes the Raft library's log on, with warnings and infos at debug level, because the library logs most messages.
+// raftLogger passes the Raft library's log on, with warnings and infos at debug level, because the library logs most
+// messages.
 type raftLogger struct{ *zap.SugaredLogger }
 
 func (q raftLogger) Warning(v ...any)            { q.Debug(v...) }
--- a/internal/registrar/store.go
+++ b/internal/registrar/store.go
@@ -24,8 +24,8 @@
 	"merlinarch/internal/decide/statemachine"
 )
 
-// Identity says which registrar a store belongs to. It is created once, together with the store, and never again: a registrar
-// that started with an empty store under its old identity would vote as if it had never promised anything.
+// Identity says which registrar a store belongs to. It is created once, together with the store, and never again: a
+// registrar that started with an empty store under its old identity would vote as if it had never promised anything.
 type Identity struct {
 	Cluster string `json:"cluster"`
 	Name    string `json:"name"`
@@ -33,8 +33,8 @@
 	Boots   uint64 `json:"boots"` // how often it has been started from this store
 }
 
-// Watermark is how far a registrar has seen another one get. A store of that other registrar that is behind the watermark is an
-// old copy.
+// Watermark is how far a registrar has seen another one get. A store of that other registrar that is behind the
+// watermark is an old copy.
 type Watermark struct {
 	Boots      uint64 `json:"boots"`
 	StartToken string `json:"start,omitempty"` // random at each start; tells apart copies of a store that have the same Boots
@@ -53,8 +53,9 @@
 	keySnapshot  = []byte("snapshot")
 )
 
-// store keeps a registrar's identity, log, snapshot, history of versions and watermarks in one file. Each value starts with a
-// checksum, so that a value which the disk has corrupted is found when it is read, and never taken for what was written.
+// store keeps a registrar's identity, log, snapshot, history of versions and watermarks in one file. Each value starts
+// with a checksum, so that a value which the disk has corrupted is found when it is read, and never taken for what was
+// written.
 type store struct {
 	db       *bbolt.DB
 	memory   *raft.MemoryStorage // the log as the Raft library reads it; updated after the disk
@@ -114,8 +115,8 @@
 
 // openFile opens the store's file for writing.
 func openFile(path string) (*bbolt.DB, error) {
-	// The list of free pages is computed from all pages at each start, not stored: a corrupt list would have pages in use
-	// overwritten.
+	// The list of free pages is computed from all pages at each start, not stored: a corrupt list would have pages in
+	// use overwritten.
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true})
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
@@ -126,8 +127,8 @@
 	return db, nil
 }
 
-// createStore creates a store's file. The snapshot initial holds the state that a new cluster starts with; it is nil for a
-// registrar that the leader will send a snapshot.
+// createStore creates a store's file. The snapshot initial holds the state that a new cluster starts with; it is nil
+// for a registrar that the leader will send a snapshot.
 func createStore(path string, id Identity, initial *pb.Snapshot) error {
 	if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: the file exists, and a registrar's store is never overwritten with a new one", path)
@@ -202,9 +203,10 @@
 	return s, nil
 }
 
-// checkFile reads a whole file before any of it is relied on, and looks each key up from the root of its bucket. On a corrupt
-// page, bbolt panics or reads beyond the file; when it opens a file for writing, it reads some pages in a goroutine of its own,
-// where a panic would end the process. Pages that were read here without a fault are read there without one.
+// checkFile reads a whole file before any of it is relied on, and looks each key up from the root of its bucket. On a
+// corrupt page, bbolt panics or reads beyond the file; when it opens a file for writing, it reads some pages in a
+// goroutine of its own, where a panic would end the process. Pages that were read here without a fault are read there
+// without one.
 func checkFile(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -246,9 +248,9 @@
 	})
 }
 
-// checkMetaPages checks both meta pages of the file. Each write replaces the older of the two, within one sector. If the newer
-// one is corrupt, bbolt falls back to the older one, and so to the file as it was one write earlier: promises that were
-// acknowledged as written would be lost. The layout is that of bbolt's files, version 2.
+// checkMetaPages checks both meta pages of the file. Each write replaces the older of the two, within one sector. If
+// the newer one is corrupt, bbolt falls back to the older one, and so to the file as it was one write earlier: promises
+// that were acknowledged as written would be lost. The layout is that of bbolt's files, version 2.
 func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/registrar/task.go
+++ b/internal/registrar/task.go
@@ -6,8 +6,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// mailbox is an unbounded queue between goroutines. Its sender never blocks, because two goroutines that send to each other
-// would deadlock if both their queues were full. The senders bound how much they put in.
+// mailbox is an unbounded queue between goroutines. Its sender never blocks, because two goroutines that send to each
+// other would deadlock if both their queues were full. The senders bound how much they put in.
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	queue []T
@@ -44,8 +44,8 @@
 	finished func(error) // called after the write, or nil
 }
 
-// runStore is the main loop of the goroutine that owns the store. It writes all queued requests with one sync of the disk and
-// then releases the responses that depend on them.
+// runStore is the main loop of the goroutine that owns the store. It writes all queued requests with one sync of the
+// disk and then releases the responses that depend on them.
 func runStore(s *store, inbox *mailbox[storeRequest], done <-chan struct{}, deliver func([]*pb.Message), failed func(error)) {
 	for {
 		select {
