--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// notRunning is the refusal while this registrar is still verifying its store with its peers.
+// notRunning is the refusal while this registrar does not take part, because it is still verifying its store with its
+// peers or is shutting down.
 var notRunning = accord.NewProblem(accord.CodeBusy, "this registrar does not take part yet")
 
 // askNode sends a message to the node and waits for its answer, at most for the length of a lease.
@@ -107,7 +108,7 @@
 	case <-f.stopped:
 	case <-timeout.C:
 	}
-	return accord.NewProblem(accord.CodeBusy, "not committed in time: it may still be; retry with the same key")
+	return accord.NewProblem(accord.CodeBusy, "no answer in time: a change may still be committed; retry with the same key")
 }
 
 // raft passes another registrar's Raft messages on to the node.
@@ -346,9 +347,9 @@
 		if m.Incarnation == 0 {
 			continue
 		}
-		at, holds, heard := n.leases.LastBeat(name, m.Incarnation)
-		dispatcher := accord.Dispatcher{Name: name, Life: m.Incarnation, Mode: m.Mode, Heard: heard, Holds: holds, Unknown: n.unknownKinds[name]}
-		if heard {
+		at, holds, hasBeat := n.leases.LastBeat(name, m.Incarnation)
+		dispatcher := accord.Dispatcher{Name: name, Life: m.Incarnation, Mode: m.Mode, Heard: hasBeat, Holds: holds, Unknown: n.unknownKinds[name]}
+		if hasBeat {
 			dispatcher.Ago = (view.Now - at).Round(time.Millisecond).String()
 		}
 		status.Dispatchers = append(status.Dispatchers, dispatcher)
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -58,7 +58,7 @@
 	term               uint64
 	leaderID           uint64
 	leading            bool
-	appliedOwnTerm     bool                         // an entry of this term was applied, so the state is at least as new as any earlier leader's
+	appliedOwnTerm     bool                         // an entry of this term was applied: no earlier leader's state is newer
 	leases             *lease.Tracker               // nil unless leading
 	serverLists        map[string]serverList        // this and the next four: by dispatcher, as reported in this term
 	hostEvidence       map[string][]cordon.Evidence // for automatic cordons
