--- a/internal/registrar/task.go
+++ b/internal/registrar/task.go
@@ -6,19 +6,21 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// mailbox is a queue between two tasks that never blocks its sender: two tasks that write to each other would stand
-// still for ever where both queues are full. What may be put in is bounded by those who put it in.
+// mailbox is an unbounded queue between goroutines. Its sender never blocks, because two goroutines that send to each
+// other would deadlock if both their queues were full. The senders bound how much they put in.
 type mailbox[T any] struct {
-	mu   sync.Mutex
-	list []T
-	wake chan struct{} // holds a token while something is there
+	mu    sync.Mutex
+	queue []T
+	wake  chan struct{} // holds a token while the queue isn't empty
 }
 
+// newMailbox returns an empty mailbox.
 func newMailbox[T any]() *mailbox[T] { return &mailbox[T]{wake: make(chan struct{}, 1)} }
 
+// put appends to the queue and wakes its receiver.
 func (m *mailbox[T]) put(v ...T) {
 	m.mu.Lock()
-	m.list = append(m.list, v...)
+	m.queue = append(m.queue, v...)
 	m.mu.Unlock()
 	select {
 	case m.wake <- struct{}{}:
@@ -26,58 +28,59 @@
 	}
 }
 
-// take empties the queue.
+// take empties the queue and returns what was in it.
 func (m *mailbox[T]) take() []T {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.list
-	m.list = nil
+	l := m.queue
+	m.queue = nil
 	return l
 }
 
-// toStore is one message to the store's task.
-type toStore struct {
+// storeRequest asks the store's goroutine to write something.
+type storeRequest struct {
 	append   *pb.Message
-	batch    batch // what else is to be written: steps, marks, a snapshot
-	finished func(error)
+	batch    batch       // what else is to be written: steps, watermarks, a snapshot
+	finished func(error) // called after the write, or nil
 }
 
-// runStore is the task that owns the disk. It writes all that waits under one sync, then lets the answers go.
-func runStore(s *store, in *mailbox[toStore], done <-chan struct{}, deliver func([]*pb.Message), failed func(error)) {
+// runStore is the main loop of the goroutine that owns the store. It writes all queued requests with one sync of the
+// disk and then releases the responses that depend on them.
+func runStore(s *store, inbox *mailbox[storeRequest], done <-chan struct{}, deliver func([]*pb.Message), failed func(error)) {
 	for {
 		select {
 		case <-done:
 			return
-		case <-in.wake:
+		case <-inbox.wake:
 		}
-		work := in.take()
-		if len(work) == 0 {
+		requests := inbox.take()
+		if len(requests) == 0 {
 			continue
 		}
-		b := batch{marks: map[uint64]Watermark{}}
-		for _, w := range work {
-			if w.append != nil {
-				b.messages = append(b.messages, w.append)
+		b := batch{watermarks: map[uint64]Watermark{}}
+		for _, request := range requests {
+			if request.append != nil {
+				b.messages = append(b.messages, request.append)
 			}
-			b.steps = append(b.steps, w.batch.steps...)
-			for id, m := range w.batch.marks {
-				b.marks[id] = m
+			b.steps = append(b.steps, request.batch.steps...)
+			for id, m := range request.batch.watermarks {
+				b.watermarks[id] = m
 			}
-			if w.batch.snapshot != nil {
-				b.snapshot, b.keep = w.batch.snapshot, w.batch.keep
+			if request.batch.snapshot != nil {
+				b.snapshot, b.keepFrom = request.batch.snapshot, request.batch.keepFrom
 			}
 		}
 		err := s.write(b)
-		for _, w := range work {
-			if err == nil && w.append != nil {
-				deliver(w.append.Responses)
+		for _, request := range requests {
+			if err == nil && request.append != nil {
+				deliver(request.append.Responses)
 			}
-			if w.finished != nil {
-				w.finished(err)
+			if request.finished != nil {
+				request.finished(err)
 			}
 		}
-		// Danger: what a failing disk may or may not hold must never be told as written. This registrar ends, and
-		// comes back with what the disk has.
+		// After a failed write it is unknown what the disk holds, and nothing may be acknowledged as written. This
+		// registrar ends; at its next start it goes on from what is on the disk.
 		if err != nil {
 			failed(err)
 			return
