--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -109,8 +109,8 @@
 	return g.feed(RequestArrived{ID: RequestID(id), Class: class, Tenant: "t", TimeLeft: timeLeft})
 }
 
-// endAttempt reports the outcome of a request's latest attempt, which took 50 ms, and returns the sends that it caused.
-// An outcome of OK ends the request.
+// endAttempt reports the outcome of a request's latest attempt, which took 50 ms, and returns the sends that it
+// caused. An outcome of OK ends the request.
 func (g *harness) endAttempt(send Send, outcome Outcome) []Send {
 	g.t.Helper()
 	final := outcome == OK
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// If all routers sent messages to all others, the traffic would grow with the square of their number. So an idle router
-// among many sends its counts to the voters only, and rarely; a busy router among few also sends in-flight reports to all.
+// If all routers sent messages to all others, the traffic would grow with the square of their number. So an idle
+// router among many sends its counts to the voters only, and rarely; a busy router among few also sends in-flight
+// reports to all.
 func TestMessagesAreBoundedByRequests(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
@@ -69,8 +70,8 @@
 	}
 }
 
-// Requests that fail at any server must not make healthy servers suspect whenever two of them come in a row, and their
-// repeats must not look like a burst of demand.
+// Requests that fail at any server must not make healthy servers suspect whenever two of them come in a row, and
+// their repeats must not look like a burst of demand.
 func TestFaultyRequestsMakeNoServerSuspect(t *testing.T) {
 	settings := testSettings()
 	settings.MaxAttempts = 1
@@ -123,7 +124,8 @@
 	}
 }
 
-// Many routers, each of which may send a first request to a server that has just started, must not overload it together.
+// Many routers, each of which may send a first request to a server that has just started, must not overload it
+// together.
 func TestManyRoutersDoNotOverloadColdServer(t *testing.T) {
 	settings := testSettings()
 	settings.RouterCount = 60
@@ -167,8 +169,8 @@
 	}
 }
 
-// An idle router sees nothing in flight at any server. It must spread requests by capacity; otherwise all idle routers would
-// prefer the largest or warmest servers.
+// An idle router sees nothing in flight at any server. It must spread requests by capacity; otherwise all idle
+// routers would prefer the largest or warmest servers.
 func TestIdleRoutersSpreadByCapacity(t *testing.T) {
 	g := newReadyHarness(t, testSettings(), testServer(1), testServer(2), testServer(3, func(s *Server) { s.Weight = 2 }))
 	requests := map[ServerID]float64{}
@@ -183,9 +185,9 @@
 	}
 }
 
-// Networks may drop idle connections silently, so that requests sent on them get no answer. If many attempts are lost on
-// idle connections only, the router closes these before a send; if attempts are lost on all connections or on none, it
-// does not.
+// Networks may drop idle connections silently, so that requests sent on them get no answer. If many attempts are lost
+// on idle connections only, the router closes these before a send; if attempts are lost on all connections or on
+// none, it does not.
 func TestLossyIdleConnectionsAreClosedBeforeSends(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -241,8 +243,8 @@
 }
 
 // An idle router that used all servers of a large fleet would open a new connection for nearly each request. Without
-// in-flight counts from peers, it uses a subset, and different routers use different ones; with these counts, or with much
-// traffic, it uses all servers.
+// in-flight counts from peers, it uses a subset, and different routers use different ones; with these counts, or with
+// much traffic, it uses all servers.
 func TestRoutersWithoutPeerCountsUseSubset(t *testing.T) {
 	servers := []Server{}
 	for i := range 40 {
@@ -280,8 +282,8 @@
 	}
 }
 
-// Requests that fail at any server must not look like a build's errors. If the retry at another server fails too, the first
-// error does not count; if it is served there, the first error counts against the first server's build.
+// Requests that fail at any server must not look like a build's errors. If the retry at another server fails too, the
+// first error does not count; if it is served there, the first error counts against the first server's build.
 func TestRetrySeparatesRequestAndServerErrors(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -312,8 +314,8 @@
 	}
 }
 
-// Just after a release, the other servers run the same build, so the error of a retry does not show that the request is at
-// fault: the first error counts. Later, requests that fail at any server are at fault themselves again.
+// Just after a release, the other servers run the same build, so the error of a retry does not show that the request
+// is at fault: the first error counts. Later, requests that fail at any server are at fault themselves again.
 func TestErrorsCountJustAfterRelease(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -333,8 +335,8 @@
 	}
 }
 
-// Slow handshakes must not make the new build look bad, to whose servers all connections are new. If new connections to the
-// old build's servers are slow too, only answers on open connections count.
+// Slow handshakes must not make the new build look bad, to whose servers all connections are new. If new connections
+// to the old build's servers are slow too, only answers on open connections count.
 func TestSlowHandshakesAreNoEvidence(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -370,8 +372,8 @@
 	}
 }
 
-// During a rollback, the first servers of the old build are cold and few. Without a limit, all routers would send their
-// traffic to them at once.
+// During a rollback, the first servers of the old build are cold and few. Without a limit, all routers would send
+// their traffic to them at once.
 func TestFewColdServersGetLimitedTraffic(t *testing.T) {
 	settings := testSettings()
 	settings.Rollout.RollingUpdate, settings.ColdCapacity = true, 0.3
@@ -408,8 +410,8 @@
 	}
 }
 
-// Without in-flight counts from peers, the new build's servers get no larger share than the old ones', and a smaller one
-// if many answers are late.
+// Without in-flight counts from peers, the new build's servers get no larger share than the old ones', and a smaller
+// one if many answers are late.
 func TestTrialChanceWithoutPeerCounts(t *testing.T) {
 	settings := testSettings()
 	g := newHarness(t, settings, 5)
@@ -427,7 +429,8 @@
 	}
 }
 
-// A fleet that was slow already in the first stage, when the new build had hardly any traffic, was not slowed by the build.
+// A fleet that was slow already in the first stage, when the new build had hardly any traffic, was not slowed by the
+// build.
 func TestFleetSlowInFirstStageIsNotAttributedToBuild(t *testing.T) {
 	for _, earlySlow := range []uint32{25, 75} { // slow ones of 100 answers of the old build in the first stage
 		g := newVoter(t)
@@ -445,8 +448,8 @@
 	}
 }
 
-// A router without in-flight counts from peers opens connections for nearly all requests to the new build's servers, so
-// it must not compare latency on new connections: connecting would count as slowness of the build.
+// A router without in-flight counts from peers opens connections for nearly all requests to the new build's servers,
+// so it must not compare latency on new connections: connecting would count as slowness of the build.
 func TestAnswersOnNewConnectionsAreNotMeasured(t *testing.T) {
 	g := newHarness(t, testSettings(), 5)
 	g.setServers(testServer(1))
@@ -460,8 +463,8 @@
 	}
 }
 
-// A host that is full refuses further requests whatever their worth. So the router sheds its queued requests of the least
-// worth before that.
+// A host that is full refuses further requests whatever their worth. So the router sheds its queued requests of the
+// least worth before that.
 func TestLeastWorthIsShedWhenHostIsFull(t *testing.T) {
 	settings := testSettings()
 	settings.MaxOpenRequests = 12
@@ -505,8 +508,8 @@
 
 func (d *countingSource) Uint64() uint64 { d.draws++; return d.source.Uint64() }
 
-// If no server may be used, a pass over the queue must not search for a server once per waiting request, which would take
-// all the time: one search serves all requests with the same choice of servers.
+// If no server may be used, a pass over the queue must not search for a server once per waiting request, which would
+// take all the time: one search serves all requests with the same choice of servers.
 func TestQueuePassSearchesOncePerKind(t *testing.T) {
 	settings := testSettings()
 	g := newReadyHarness(t, settings, testServer(1, startedAt(startTime)), testServer(2, startedAt(startTime)))
