--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -117,10 +117,10 @@
 
 	front := clients.New(c.Limits, c.Settings, gw, count, log)
 	if book != nil {
-		front.Accounts = ledger.NewCounter(book, c.Settings, f.Ledger.OnFailure == "refuse", count, log)
+		front.UsageRecorder = ledger.NewCounter(book, c.Settings, f.Ledger.OnFailure == "refuse", count, log)
 	}
 	if rules != nil {
-		front.Rules = rules.Gate
+		front.LeaseGate = rules.Gate
 	}
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(listen) }()
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -29,8 +29,8 @@
 	Ready() bool // requests can be sent on
 }
 
-// Accounts counts final answers. None of its methods decides where a request goes or how it ends.
-type Accounts interface {
+// UsageRecorder counts final answers. None of its methods decides where a request goes or how it ends.
+type UsageRecorder interface {
 	// Count makes an answer's use durable before the answer goes out, or gives up when ctx ends; the function it
 	// returns is to be called once the last byte is written.
 	Count(ctx context.Context, f exchange.Fields, a exchange.Answer) (written func())
@@ -38,16 +38,16 @@
 	Refusing() bool
 }
 
-// Rules tells whether anything may be sent at all.
-type Rules interface {
+// LeaseGate tells whether anything may be sent at all.
+type LeaseGate interface {
 	// Refusing tells that nothing new may be taken, since no lease on the agreed rules stands.
 	Refusing() bool
 }
 
 // Server serves clients.
 type Server struct {
-	Accounts Accounts // nil: answers are not counted; to be set before Serve
-	Rules    Rules    // nil: no accord; to be set before Serve
+	UsageRecorder UsageRecorder // nil: answers are not counted; to be set before Serve
+	LeaseGate     LeaseGate     // nil: no accord; to be set before Serve
 
 	limits  config.Limits
 	reader  *reader
@@ -179,7 +179,7 @@
 		s.turnDown(w, wrong)
 		return
 	}
-	held := s.Rules != nil && s.Rules.Refusing()
+	held := s.LeaseGate != nil && s.LeaseGate.Refusing()
 	if r.URL.Path == pathReady {
 		status := http.StatusOK
 		if held || !s.gateway.Ready() {
@@ -223,7 +223,7 @@
 		s.finish(w, f, exchange.Answer{Status: exchange.TimedOut}, until)
 		return
 	}
-	if s.Accounts != nil && s.Accounts.Refusing() {
+	if s.UsageRecorder != nil && s.UsageRecorder.Refusing() {
 		s.count.Inc("requests.refused_uncountable")
 		s.answer(w, exchange.Answer{Status: exchange.Refused, RetryAfter: s.limits.RetryAfter})
 		return
@@ -255,14 +255,14 @@
 // finish counts a final answer where that is wanted, and writes it. Danger: an answer that a client has received
 // must be counted after a crash, so its use is durable first; but a slow disk must not make it late.
 func (s *Server) finish(w http.ResponseWriter, f exchange.Fields, a exchange.Answer, until time.Time) {
-	if s.Accounts == nil {
+	if s.UsageRecorder == nil {
 		s.answer(w, a)
 		return
 	}
 	_, last := s.limits.Margins(time.Until(until))
 	ctx, stop := context.WithDeadline(context.Background(), until.Add(-last/2))
 	defer stop()
-	written := s.Accounts.Count(ctx, f, a)
+	written := s.UsageRecorder.Count(ctx, f, a)
 	s.answer(w, a)
 	written()
 }
