--- a/internal/clients/conns.go
+++ b/internal/clients/conns.go
@@ -17,47 +17,49 @@
 	"merlinarch/internal/sockstat"
 )
 
-// conns keeps count of the connections from clients, the idle ones in the order in which they became so.
+// connTable tracks the open connections from clients, so that the oldest inactive ones can be evicted when
+// descriptors run short.
 type connTable struct {
 	limits   config.Limits
 	counters *metrics.Registry
 
 	mu              sync.Mutex
-	total           int
-	pendingCloses   int        // answers that close their connections, as new ones wait for room
-	evictingCount   int        // of those present, the ones that were told to end
-	awaitingHead    *list.List // of *conn, those that have brought no whole head yet, the oldest first
-	idle            *list.List // of *conn, the longest idle first
-	descriptorFreed chan struct{}
+	total           int           // connections whose descriptor is not yet closed
+	pendingCloses   int           // answers that still have to close their connections, because a new connection waits for a descriptor
+	evictingCount   int           // connections marked for eviction that have not closed yet; part of total
+	awaitingHead    *list.List    // of *conn: no whole request head has been read yet; oldest first
+	idle            *list.List    // of *conn: the last answer is written and nothing was read since; longest idle first
+	descriptorFreed chan struct{} // receives a value when a descriptor is closed
 }
 
+// newConnTable returns an empty table.
 func newConnTable(limits config.Limits, counters *metrics.Registry) *connTable {
 	return &connTable{limits: limits, counters: counters, awaitingHead: list.New(), idle: list.New(), descriptorFreed: make(chan struct{}, 1)}
 }
 
-// conn is a connection from a client.
+// conn is a connection from a client. It controls net/http's deadlines and the order in which the connection closes.
 type conn struct {
 	net.Conn
 	table *connTable
 
-	writeDeadline time.Time // the write deadline; touched by the reader alone
-	hadRequest    bool      // a request has come; touched by its handlers alone
+	writeDeadline time.Time // the current write deadline; accessed only by Read
+	hadRequest    bool      // a request has been received; accessed only by the connection's handlers
 
-	// Guarded by all.mu.
-	listElement *list.Element // in one of the lists
-	inIdleList  bool          // in that of the idle ones: nothing has been read since its last answer
-	listedSince time.Time     // when it came there
+	// The fields below are guarded by table.mu.
+	listElement *list.Element // the position in one of the table's lists; nil: in none
+	inIdleList  bool          // the list is table.idle: nothing has been read since the last answer
+	listedSince time.Time     // when it was added to the list
 	closed      bool
-	evicting    bool          // to be closed between requests
-	hasReceived bool          // something has come on it
-	answering   bool          // a head was read, and its answer is not written
-	hangup      chan struct{} // of the request that is being answered: closed once its client has gone unseen by net/http
+	evicting    bool          // to be closed unless bytes of a request have arrived
+	hasReceived bool          // at least one byte has been read
+	answering   bool          // a request head has been read and its answer is not yet written
+	hangup      chan struct{} // for the request being answered: closed when its client hangs up and net/http cannot detect it
 }
 
-// Read takes a connection from among the idle ones before net/http sees a byte of its next request, and
-// ends one that is to be closed, or has said nothing for too long, only if no byte of a request has come. Danger:
-// net/http tells that it is busy only after the head was read; closed in between, a request that was taken
-// would be lost.
+// Read removes a connection from the idle list before net/http sees a byte of its next request. It ends a connection
+// that is marked for eviction or has been silent for too long only if no byte of a request has arrived. net/http
+// reports a connection as active only after it has read the head, so a connection closed before that could lose a
+// request that had already been received.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -82,16 +84,18 @@
 		if !timedOut {
 			return n, err
 		}
-		// Danger: with no time-out left, what comes now could stall for ever.
+		// The deadline has passed and bytes have arrived: without a new deadline, the rest of this request could stall
+		// forever.
 		if err := c.Conn.SetReadDeadline(time.Now().Add(c.table.limits.RequestReadTimeout)); err != nil {
 			return n, err
 		}
 	}
 }
 
-// watch looks for the client's leaving while its request is answered; the lock is held. Danger: net/http reads one byte
-// behind a request, to see the connection end, and no more until the answer is out; where that byte was there (of a
-// next request, or a line break too many), it never sees the end, and the request would be sent on for nobody.
+// pollForHangup polls for the client's hangup while its request is being answered. The caller holds the table's lock.
+// net/http reads one byte after a request to detect the end of the connection, and reads no more until the answer is
+// written. If that byte exists (from a next request or an extra line break), net/http never sees the end, and the
+// request would be forwarded although no client waits for it.
 func (c *conn) pollForHangup() {
 	hangup, interval := c.hangup, max(c.table.limits.HangupPollInterval, time.Millisecond)
 	var poll func()
@@ -99,7 +103,7 @@
 		c.table.mu.Lock()
 		defer c.table.mu.Unlock()
 		switch {
-		case c.closed || c.hangup != hangup: // answered
+		case c.closed || c.hangup != hangup: // the request has been answered
 		case sockstat.PeerClosed(c.Conn):
 			close(hangup)
 			c.hangup = nil
@@ -110,15 +114,17 @@
 	time.AfterFunc(interval, poll)
 }
 
-// leaving gives the channel that is closed if the client of the request that is being answered goes unseen by net/http.
+// hangupSignal returns the channel that is closed if the client of the current request hangs up and net/http cannot
+// detect it.
 func (c *conn) hangupSignal() <-chan struct{} {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	return c.hangup
 }
 
-// SetReadDeadline sets net/http's deadlines, but not on a connection that was just told to end. Danger: it would
-// count as ending and stay for as long as it likes, and none other would make room.
+// SetReadDeadline sets net/http's deadlines, except on a connection that is marked for eviction. Otherwise net/http
+// could replace the deadline that wakes its reader: the connection would count as being evicted but stay open, and no
+// other would be evicted in its place.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -128,12 +134,14 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetWriteDeadline leaves the deadline to allowWrites. Danger: net/http takes it away after each answer.
+// SetWriteDeadline does nothing: extendWriteDeadline controls the write deadline, which net/http would clear after each
+// answer.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// Close ends it; once its descriptor is free it is counted off. Danger: a connection that closes with bytes unread, or
-// on which some come later, is reset, and with that goes what the client has not read of its last answer. So behind an
-// answer the sending side alone closes first, and what still comes is read, within bounds, until the client closes too.
+// Close closes the connection; it stays in the table's total until its descriptor is closed. A connection that is closed
+// with unread bytes, or that receives bytes afterwards, is reset, and the client loses what it has not yet read of its
+// last answer. So after an answer only the sending side is closed at first, and incoming bytes are discarded, within
+// limits of time and size, until the client closes too.
 func (c *conn) Close() error {
 	c.table.mu.Lock()
 	alreadyClosed, afterAnswer := c.closed, c.answering
@@ -150,7 +158,7 @@
 		go func() {
 			defer c.closeDescriptor()
 			if c.Conn.SetReadDeadline(time.Now().Add(c.table.limits.Linger)) == nil {
-				io.Copy(io.Discard, io.LimitReader(c.Conn, c.table.limits.LingerBytes)) // its end, or the bounds
+				io.Copy(io.Discard, io.LimitReader(c.Conn, c.table.limits.LingerBytes)) // until the client closes or a limit is reached
 			}
 		}()
 		return nil
@@ -158,7 +166,7 @@
 	return c.closeDescriptor()
 }
 
-// release frees the descriptor.
+// closeDescriptor closes the descriptor, takes the connection off the table's total and wakes waitForClose.
 func (c *conn) closeDescriptor() error {
 	err := c.Conn.Close()
 	c.table.mu.Lock()
@@ -171,27 +179,28 @@
 	return err
 }
 
-// allowWrites gives answers their time. Danger: a client that doesn't read would hold a connection and memory
-// for ever; what stalls for some times the longest wait is cut off, and never sooner. Set anew only as needed,
-// since it costs as much as a read.
+// extendWriteDeadline gives answers time to be written. Without a write deadline, a client that does not read would hold
+// a connection and memory forever. An answer is cut off only after it has stalled for several times the longest client
+// wait. The deadline is set again only when less than half of it remains, since setting it costs as much as a read.
 func (c *conn) extendWriteDeadline() {
 	timeout := c.table.limits.WriteStallTimeout
 	if now := time.Now(); c.writeDeadline.Before(now.Add(timeout / 2)) {
 		c.writeDeadline = now.Add(timeout)
 		if c.Conn.SetWriteDeadline(c.writeDeadline) != nil {
-			c.table.counters.Inc("clients.no_deadline") // it has closed
+			c.table.counters.Inc("clients.no_deadline") // the connection has already closed
 		}
 	}
 }
 
-// first tells once that this is the connection's first request.
+// markFirstRequest records that a request has been received, and reports whether it is the connection's first.
 func (c *conn) markFirstRequest() bool {
 	hadRequest := c.hadRequest
 	c.hadRequest = true
 	return !hadRequest
 }
 
-// CloseWrite lets net/http end an answer to a request that it could not read, without cutting it off.
+// CloseWrite closes the sending side. net/http uses it to finish an answer to a request that it could not read, without
+// cutting the answer off.
 func (c *conn) CloseWrite() error {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return halfCloser.CloseWrite()
@@ -199,7 +208,7 @@
 	return nil
 }
 
-// end notes whether the connection is told to end; the lock is held.
+// setEvicting marks or unmarks the connection for eviction. The caller holds the table's lock.
 func (c *conn) setEvicting(evicting bool) {
 	if c.evicting != evicting {
 		c.evicting = evicting
@@ -207,148 +216,151 @@
 	}
 }
 
-// join puts a connection into a list; the lock is held.
-func (a *connTable) addToList(c *conn, to *list.List) {
+// addToList appends an open connection that is in no list to the given one. The caller holds the lock.
+func (t *connTable) addToList(c *conn, to *list.List) {
 	if !c.closed && c.listElement == nil {
-		c.listElement, c.inIdleList, c.listedSince = to.PushBack(c), to == a.idle, time.Now()
+		c.listElement, c.inIdleList, c.listedSince = to.PushBack(c), to == t.idle, time.Now()
 	}
 }
 
-// leave takes a connection from its list; the lock is held.
-func (a *connTable) removeFromList(c *conn) {
+// removeFromList removes a connection from its list, if it is in one. The caller holds the lock.
+func (t *connTable) removeFromList(c *conn) {
 	if c.listElement == nil {
 		return
 	}
 	if c.inIdleList {
-		a.idle.Remove(c.listElement)
+		t.idle.Remove(c.listElement)
 	} else {
-		a.awaitingHead.Remove(c.listElement)
+		t.awaitingHead.Remove(c.listElement)
 	}
 	c.listElement, c.inIdleList = nil, false
 }
 
-// state takes a connection from among the fresh ones once a head was read, and puts it among the idle ones
-// once its answer is written.
-func (a *connTable) onStateChange(nc net.Conn, to http.ConnState) {
+// onStateChange is net/http's ConnState hook. It removes a connection from its list once a request head has been read,
+// and adds it to the idle list once the answer is written.
+func (t *connTable) onStateChange(nc net.Conn, to http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok || to != http.StateIdle && to != http.StateActive {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if c.answering = to == http.StateActive; c.answering {
-		a.removeFromList(c)
+		t.removeFromList(c)
 		c.hangup = make(chan struct{})
 	} else {
 		c.hangup = nil
-		a.addToList(c, a.idle)
+		t.addToList(c, t.idle)
 	}
 }
 
-// evict makes room where it is short. It ends the oldest connection that has said nothing, or not enough, for a
-// while, and else the one that has been idle longest, if that is for a while: its client may see it close between
-// requests, and one that it used a moment ago may well have its next request under way. Danger: on a busy
-// machine it takes time to end, and ending another meanwhile would close many that clients still want. Danger:
-// silent connections, taken by hundreds, would push out those that serve. It hurts a client whose first head
-// takes longer than FreshLeast to come while room is short.
-func (a *connTable) evictForRoom() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.total-a.evictingCount <= a.limits.ClientConns-a.limits.SpareClientConns {
+// evictForRoom evicts one connection if descriptors are short, and reports whether it did. It first tries the oldest
+// connection that has not sent a whole head for EvictSilentAfter, then the one idle longest, if for EvictIdleAfter:
+// clients may see a connection close between requests, but one used a moment ago may well have its next request under
+// way. Silent connections go first, since hundreds of them would otherwise push out connections that serve requests.
+// Connections already being evicted count as gone: on a busy machine they take time to close, and evicting others
+// meanwhile would close many that clients still want. The cost: while descriptors are short, a client whose first head
+// takes longer than EvictSilentAfter to arrive may lose its connection.
+func (t *connTable) evictForRoom() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.total-t.evictingCount <= t.limits.ClientConns-t.limits.SpareClientConns {
 		return false
 	}
-	return a.evictOldest(a.awaitingHead, a.limits.EvictSilentAfter) || a.evictOldest(a.idle, a.limits.EvictIdleAfter)
+	return t.evictOldest(t.awaitingHead, t.limits.EvictSilentAfter) || t.evictOldest(t.idle, t.limits.EvictIdleAfter)
 }
 
-// endOldest ends the oldest connection of a list that has been there for so long; the lock is held.
-func (a *connTable) evictOldest(l *list.List, minAge time.Duration) bool {
+// evictOldest evicts the oldest connection of a list that has been in it for at least minAge and has nothing unread, and
+// reports whether there was one. The caller holds the lock.
+func (t *connTable) evictOldest(l *list.List, minAge time.Duration) bool {
 	for e := l.Front(); e != nil; e = l.Front() {
 		c := e.Value.(*conn)
 		if time.Since(c.listedSince) < minAge {
 			return false
 		}
-		a.removeFromList(c)
-		if !sockstat.OpenAndEmpty(c.Conn) { // its next request waits to be read, or its client has closed it
+		t.removeFromList(c)
+		if !sockstat.OpenAndEmpty(c.Conn) { // its next request waits to be read, or the client has closed it
 			continue
 		}
 		c.setEvicting(true)
-		if err := c.Conn.SetReadDeadline(time.Unix(1, 0)); err != nil { // its reader wakes and ends it
+		if err := c.Conn.SetReadDeadline(time.Unix(1, 0)); err != nil { // a deadline in the past wakes the reader, which closes the connection
 			continue
 		}
-		a.counters.Inc("clients.evicted")
+		t.counters.Inc("clients.evicted")
 		return true
 	}
 	return false
 }
 
-// endSilent ends the connections that have stood idle for a while, and those that have brought nothing for longer, if
-// nothing has come on them, and tells how many are left. Danger: one that was used a moment ago may well have its next
-// request under way; that one's answer ends it.
-func (a *connTable) evictInactive() (remaining int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for a.evictOldest(a.idle, a.limits.EvictIdleAfter) {
+// evictInactive evicts the connections that have been idle for EvictIdleAfter and those that have sent no whole head for
+// EvictSilentAfter, unless unread bytes wait on them, and returns the number of open connections. A connection that was
+// used a moment ago is spared, since its next request may well be under way; that request's answer closes it.
+func (t *connTable) evictInactive() (remaining int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for t.evictOldest(t.idle, t.limits.EvictIdleAfter) {
 	}
-	for a.evictOldest(a.awaitingHead, a.limits.EvictSilentAfter) {
+	for t.evictOldest(t.awaitingHead, t.limits.EvictSilentAfter) {
 	}
-	return a.total
+	return t.total
 }
 
-// starved tells that an answer is to close its connection: more stand than the node wants and none is idle, or a
-// new one has waited for room. Danger: on a busy machine those that stand idle have requests waiting already and
-// can't make room; served for ever, they would keep new ones in the backlog until their time is over. Danger:
-// each costs its client a new connection, which is dearer than the request; so a few for each moment.
-func (a *connTable) mustCloseAfterAnswer() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.pendingCloses > 0 {
-		a.pendingCloses--
+// mustCloseAfterAnswer reports whether an answer has to close its connection: either more connections are open than the
+// node wants and none is idle, or a new connection has waited for a descriptor. On a busy machine, connections between
+// requests already have their next request waiting and cannot be evicted; if they were served forever, new connections
+// would stay in the backlog until their requests time out. Each close costs the client a new connection, which is more
+// expensive than the request, so only a few answers per wait close theirs.
+func (t *connTable) mustCloseAfterAnswer() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.pendingCloses > 0 {
+		t.pendingCloses--
 		return true
 	}
-	return a.total > a.limits.ClientConns-a.limits.SpareClientConns && a.idle.Len() == 0
+	return t.total > t.limits.ClientConns-t.limits.SpareClientConns && t.idle.Len() == 0
 }
 
-// full tells that there is no descriptor for another.
-func (a *connTable) isFull() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.total >= a.limits.ClientConns
+// isFull reports whether there is no descriptor for another connection.
+func (t *connTable) isFull() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.total >= t.limits.ClientConns
 }
 
-// listener accepts whatever comes.
+// listener accepts connections from clients within the limit of descriptors and adds them to the table.
 type listener struct {
 	net.Listener
 	conns       *connTable
-	acceptUntil atomic.Pointer[time.Time] // set: what stands in the backlog is taken, and nothing after this
+	acceptUntil atomic.Pointer[time.Time] // nil: no limit; set: accept what is in the backlog, but nothing after this time
 }
 
-// errDrained ends accepting.
-var errDrained = errors.New("nothing more is accepted")
+// errDrained is returned by Accept once the backlog is drained.
+var errDrained = errors.New("the listener accepts no more connections")
 
-// finish ends accepting once the backlog is empty, or in d at the latest. Danger: what stands there was taken by the
-// machine, and would be reset with all that its clients have sent.
-func (l *listener) stopAccepting(timeout time.Duration) {
+// drainBacklog ends accepting once the backlog is empty, or after the timeout at the latest. The kernel has already
+// accepted the connections in the backlog; closing the listener would reset them and lose what their clients have sent.
+func (l *listener) drainBacklog(timeout time.Duration) {
 	until := time.Now().Add(timeout)
 	l.acceptUntil.Store(&until)
 	l.setAcceptDeadline(time.Now().Add(l.conns.limits.BacklogQuietTime))
 }
 
-// wakeBy has Accept return by a time.
+// setAcceptDeadline makes a blocked Accept return by t, if necessary by closing the listener.
 func (l *listener) setAcceptDeadline(t time.Time) {
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(t) != nil {
 		l.Listener.Close()
 	}
 }
 
-// over tells that nothing more is to be accepted, though something may come.
+// isPastAcceptUntil reports whether acceptUntil has passed, so that no more is accepted even if connections still come.
 func (l *listener) isPastAcceptUntil() bool {
 	until := l.acceptUntil.Load()
 	return until != nil && time.Now().After(*until)
 }
 
-// Accept takes the next connection. Danger: with no descriptor left nothing can be accepted nor sent, and
-// what stands in the backlog is taken all the same. So it waits, for moments, until an answer has closed a
-// connection or one that stands idle can be closed; requests that are held are few enough for that.
+// Accept returns the next connection. Without a free descriptor, nothing could be accepted or forwarded, while the kernel
+// would go on filling the backlog. So Accept waits in short steps until an answer has closed its connection or an idle
+// connection can be evicted. The limit on open requests is low enough that such connections exist.
 func (l *listener) Accept() (net.Conn, error) {
 	for l.conns.isFull() && !l.isPastAcceptUntil() {
 		l.conns.counters.Inc("clients.accept_waits")
@@ -373,7 +385,7 @@
 			l.conns.evictForRoom()
 			return c, nil
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS),
-			errors.Is(err, syscall.ENOMEM): // net/http would pause for up to a second
+			errors.Is(err, syscall.ENOMEM): // if this error were returned, net/http would pause for up to a second
 			l.conns.counters.Inc("clients.accept_short")
 			l.conns.evictForRoom()
 			l.conns.waitForClose()
@@ -386,19 +398,19 @@
 	return nil, errDrained
 }
 
-// owe notes how many of the next answers owe their connections to new ones.
-func (a *connTable) setPendingCloses(answers int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.pendingCloses = answers
+// setPendingCloses sets how many of the next answers have to close their connections to make room for new ones.
+func (t *connTable) setPendingCloses(answers int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.pendingCloses = answers
 }
 
-// pause waits a moment, or until a connection has closed.
-func (a *connTable) waitForClose() {
-	t := time.NewTimer(2 * time.Millisecond)
-	defer t.Stop()
+// waitForClose waits until a connection has closed, for 2 ms at most.
+func (t *connTable) waitForClose() {
+	timer := time.NewTimer(2 * time.Millisecond)
+	defer timer.Stop()
 	select {
-	case <-a.descriptorFreed:
-	case <-t.C:
+	case <-t.descriptorFreed:
+	case <-timer.C:
 	}
 }
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -15,7 +15,7 @@
 	"merlinarch/logic"
 )
 
-// Names of this deployment on the way from clients.
+// Paths and header fields of requests from clients.
 const (
 	pathAPI              = "/api"
 	pathReady            = "/-/ready"
@@ -29,21 +29,23 @@
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// problem is why a request is turned down before the decisions see it.
+// requestError is the answer to a request that is rejected before the gateway gets it. The message is sent to the client.
 type requestError struct {
 	status  int
 	message string
 }
 
-func badRequest(text string) *requestError { return &requestError{http.StatusBadRequest, text} }
+// badRequest returns a requestError with status 400.
+func badRequest(message string) *requestError { return &requestError{http.StatusBadRequest, message} }
 
-// reader checks requests and takes out what decisions need.
+// requestParser validates requests and extracts the fields that the decisions need.
 type requestParser struct {
 	limits  config.Limits
 	classes map[string]logic.Class
 	tenants map[string]bool
 }
 
+// newRequestParser returns a parser that knows the classes and tenants of the settings.
 func newRequestParser(limits config.Limits, s logic.Settings) *requestParser {
 	p := &requestParser{limits: limits, classes: map[string]logic.Class{}, tenants: map[string]bool{}}
 	for _, c := range s.Classes {
@@ -55,7 +57,8 @@
 	return p
 }
 
-// once gives a header that must be there once.
+// requiredHeader returns the value of a header that must be present exactly once, not empty and at most maxLength bytes
+// long.
 func requiredHeader(h http.Header, name string, maxLength int) (string, *requestError) {
 	v := h.Values(name)
 	switch {
@@ -69,7 +72,7 @@
 	return v[0], nil
 }
 
-// optional gives a header that may be absent; doubled ones count as absent.
+// optionalHeader returns the value of a header, or an empty string if it is absent or repeated.
 func optionalHeader(h http.Header, name string) string {
 	if v := h.Values(name); len(v) == 1 {
 		return v[0]
@@ -77,8 +80,9 @@
 	return ""
 }
 
-// head checks all of a request but its body. Danger: what a host would answer with 400, or would run under
-// another request's name, must never be forwarded.
+// parseHead validates everything in a request except its body, and returns the message to forward, the fields for the
+// decisions and the time that the client waits. A request that a host would answer with 400, or would execute under
+// another request's id, must never be forwarded.
 func (p *requestParser) parseHead(r *http.Request) (exchange.Message, exchange.Fields, time.Duration, *requestError) {
 	var message exchange.Message
 	var fields exchange.Fields
@@ -124,7 +128,7 @@
 	return message, fields, wait, nil
 }
 
-// wait reads the client's time left: whole milliseconds, more than none and not absurdly many.
+// parseRemaining parses the time that the client still waits: whole milliseconds, more than zero and at most MaxWait.
 func (p *requestParser) parseRemaining(text string) (time.Duration, *requestError) {
 	ms, err := strconv.ParseUint(text, 10, 32)
 	if wait := time.Duration(ms) * time.Millisecond; err == nil && ms > 0 && wait <= p.limits.MaxWait {
@@ -133,7 +137,8 @@
 	return 0, badRequest(headerRemaining + " can't be")
 }
 
-// repeatable checks that the method fits the class, and gives the key of a keyed request.
+// checkRepeatability checks that the method and the length of the body fit the class, and returns the idempotency key if
+// the class is keyed.
 func (p *requestParser) checkRepeatability(r *http.Request, class logic.Class) (string, *requestError) {
 	wantMethod := http.MethodPost
 	if class.Repeatability == logic.Safe {
@@ -155,7 +160,8 @@
 	return requiredHeader(r.Header, headerIdempotencyKey, p.limits.MaxIDLength)
 }
 
-// hint reads the client's guess at the work, in microseconds; one that can't be read is none.
+// parseEstimate parses the client's estimate of the work, in microseconds. It returns zero, which means unknown, if the
+// text is not a number or is out of range.
 func (p *requestParser) parseEstimate(text string) time.Duration {
 	us, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(us >= 0 && us < 1e10) {
@@ -164,17 +170,17 @@
 	return time.Duration(us * 1000)
 }
 
-// keyNumber is a number for a key, the same for the same text.
+// hashKey returns a hash of a key's text.
 func hashKey(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
 	return h.Sum64()
 }
 
-// framed checks that it is in no doubt where a request ends. Danger: net/http drops Content-Length, unseen, where
-// a transfer encoding comes with it, and drops the encoding itself under HTTP/1.0; who reads the other of the
-// two, here or behind, finds another request in the body. So the length alone counts, which HTTP lets a server
-// insist on. It hurts a client that sends chunks; it may send a length.
+// checkFraming checks that the end of a request is unambiguous, to prevent request smuggling. net/http silently drops
+// Content-Length if a transfer encoding comes with it, and drops the encoding itself under HTTP/1.0; whoever relies on the
+// other of the two, here or at a host, would find another request in the body. So only Content-Length is accepted, which
+// HTTP allows a server to require. The cost: clients that send chunked bodies are rejected, and have to send a length.
 func checkFraming(r *http.Request) *requestError {
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -185,7 +191,8 @@
 	return nil
 }
 
-// body reads a request's body whole; its length has been checked, and the server's time-out ends one that stalls.
+// readBody reads the whole body of a request. The length has been checked before, and the server's read timeout ends a body
+// that stalls.
 func (p *requestParser) readBody(r *http.Request) ([]byte, *requestError) {
 	if r.ContentLength <= 0 {
 		return nil, nil
