--- a/internal/clients/conns.go
+++ b/internal/clients/conns.go
@@ -25,7 +25,7 @@
 
 	mu              sync.Mutex
 	total           int           // connections whose descriptor is not yet closed
-	pendingCloses   int           // answers that still have to close their connections, because a new connection waits for a descriptor
+	pendingCloses   int           // answers still to close their connections for new ones that wait for a descriptor
 	evictingCount   int           // connections marked for eviction that have not closed yet; part of total
 	awaitingHead    *list.List    // of *conn: no whole request head has been read yet; oldest first
 	idle            *list.List    // of *conn: the last answer is written and nothing was read since; longest idle first
@@ -270,8 +270,9 @@
 	return t.evictOldest(t.awaitingHead, t.limits.EvictSilentAfter) || t.evictOldest(t.idle, t.limits.EvictIdleAfter)
 }
 
-// evictOldest evicts the oldest connection of a list that has been in it for at least minAge and has nothing unread, and
-// reports whether there was one. The caller holds the lock.
+// evictOldest evicts the oldest connection that has been in a list for at least minAge, and reports whether there was one.
+// Connections that have unread bytes or were closed by the client are only removed from the list. The caller holds the
+// lock.
 func (t *connTable) evictOldest(l *list.List, minAge time.Duration) bool {
 	for e := l.Front(); e != nil; e = l.Front() {
 		c := e.Value.(*conn)
@@ -283,7 +284,7 @@
 			continue
 		}
 		c.setEvicting(true)
-		if err := c.Conn.SetReadDeadline(time.Unix(1, 0)); err != nil { // a deadline in the past wakes the reader, which closes the connection
+		if err := c.Conn.SetReadDeadline(time.Unix(1, 0)); err != nil { // wakes the reader, which closes the connection
 			continue
 		}
 		t.counters.Inc("clients.evicted")
