--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -65,7 +65,7 @@
 // options are the flags of all commands.
 type options struct{ settings, name, dir, level string }
 
-func (o *options) flags(c *cobra.Command) {
+func (o *options) register(c *cobra.Command) {
 	c.Flags().StringVar(&o.settings, "settings", "", "`FILE` of settings; its part accord counts")
 	c.Flags().StringVar(&o.name, "name", "", "this registrar's name in the settings")
 	c.Flags().StringVar(&o.dir, "dir", ".", "`DIR` that keeps its record; it has to last")
@@ -106,20 +106,20 @@
 			fmt.Fprintf(c.OutOrStdout(), "made the disk of %s, of %d registrars\n", o.name, len(r.Registrars))
 			return nil
 		}}
-	o.flags(c)
+	o.register(c)
 	return c
 }
 
 func joinCommand() *cobra.Command {
 	var o options
-	var patience time.Duration
+	var timeout time.Duration
 	c := &cobra.Command{Use: "join", Short: "Make a new disk, and take the place of the registrar of this name, or a new one", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := o.load()
 			if err != nil {
 				return err
 			}
-			ctx, stop := context.WithTimeout(context.Background(), patience)
+			ctx, stop := context.WithTimeout(context.Background(), timeout)
 			defer stop()
 			if err := registrar.Join(ctx, r); err != nil {
 				return failure{err}
@@ -127,8 +127,8 @@
 			fmt.Fprintf(c.OutOrStdout(), "%s is one of the registrars now; start it\n", o.name)
 			return nil
 		}}
-	o.flags(c)
-	c.Flags().DurationVar(&patience, "patience", 30*time.Second, "how long to ask for it")
+	o.register(c)
+	c.Flags().DurationVar(&timeout, "patience", 30*time.Second, "how long to ask for it")
 	return c
 }
 
@@ -150,6 +150,6 @@
 		}
 		return nil
 	}}
-	o.flags(c)
+	o.register(c)
 	return c
 }
--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -35,22 +35,22 @@
 }
 
 // operator is what the commands that speak with the registrars have in common.
-type operator struct {
-	settings, author, reason string
-	patience                 time.Duration
-	wait, force, changes     bool
+type clusterCommand struct {
+	settings, author, reason  string
+	timeout                   time.Duration
+	wait, force, changesRules bool
 }
 
-func (o *operator) flags(c *cobra.Command) {
+func (o *clusterCommand) register(c *cobra.Command) {
 	c.Flags().StringVar(&o.settings, "settings", "", "`FILE` of settings; its part accord names the registrars")
-	c.Flags().DurationVar(&o.patience, "patience", 30*time.Second, "how long to go on asking, and to wait")
+	c.Flags().DurationVar(&o.timeout, "patience", 30*time.Second, "how long to go on asking, and to wait")
 	c.MarkFlagRequired("settings")
 }
 
 // changing are the flags of commands that change the rules.
-func (o *operator) changing(c *cobra.Command, env func(string) string) {
-	o.flags(c)
-	o.changes = true
+func (o *clusterCommand) registerChange(c *cobra.Command, env func(string) string) {
+	o.register(c)
+	o.changesRules = true
 	c.Flags().StringVar(&o.reason, "reason", "", "why; kept in the record")
 	c.Flags().StringVar(&o.author, "author", env("USER"), "who; kept in the record")
 	c.Flags().BoolVar(&o.wait, "wait", false, "end once it is confirmed, or tell who is missing")
@@ -59,8 +59,8 @@
 }
 
 // begin reads the settings and makes a client. The context ends with the patience, or with a signal.
-func (o *operator) begin() (context.Context, func(), *accord.Client, string, error) {
-	if o.changes && o.author == "" {
+func (o *clusterCommand) connect() (context.Context, func(), *accord.Client, string, error) {
+	if o.changesRules && o.author == "" {
 		return nil, nil, nil, "", errors.New("--author: expected who asks for it, as USER is not set")
 	}
 	f, err := features.Load(o.settings, readSettings)
@@ -71,7 +71,7 @@
 		return nil, nil, nil, "", fmt.Errorf("%s: accord.cluster: expected a name", o.settings)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	ctx, cancel := context.WithTimeout(ctx, o.patience)
+	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	return ctx, func() { cancel(); stop() }, accord.NewClient(f.Accord.Registrars), f.Accord.Cluster, nil
 }
 
@@ -85,7 +85,7 @@
 }
 
 // change asks for changes on the present version, anew where another came first.
-func (o *operator) change(ctx context.Context, c *accord.Client, cluster string, changes ...ruleset.Change) (ruleset.Answer, error) {
+func (o *clusterCommand) submit(ctx context.Context, c *accord.Client, cluster string, changes ...ruleset.Change) (ruleset.Answer, error) {
 	for {
 		s, err := leaderStatus(ctx, c)
 		if err != nil {
@@ -108,14 +108,14 @@
 }
 
 func cordonCommand(env func(string) string) *cobra.Command {
-	var o operator
+	var o clusterCommand
 	var born int64
 	var expires time.Duration
 	c := &cobra.Command{Use: "cordon HOST", Short: "Close a server to new work at every dispatcher", Args: cobra.ExactArgs(1),
 		Long: `Close a server to new work at every dispatcher. It may be switched off once the cordon is confirmed: no dispatcher will
 start anything there then. Exit code 1 if it was refused, or is not confirmed in time.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, stop, client, cluster, err := o.begin()
+			ctx, stop, client, cluster, err := o.connect()
 			if err != nil {
 				return err
 			}
@@ -124,7 +124,7 @@
 			if c.Flags().Changed("born") {
 				t.Born = &born
 			}
-			a, err := o.change(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindCordon, Cordon: &t, DurationMs: expires.Milliseconds()})
+			a, err := o.submit(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindCordon, Cordon: &t, DurationMs: expires.Milliseconds()})
 			if err != nil {
 				return err
 			}
@@ -137,7 +137,7 @@
 			}
 			return waitConfirmed(ctx, c.OutOrStdout(), client, t.ID())
 		}}
-	o.changing(c, env)
+	o.registerChange(c, env)
 	c.Flags().Int64Var(&born, "born", 0, "only the life of the server that started then (Unix time in `MS`); else any of its name")
 	c.Flags().DurationVar(&expires, "for", 0, "it expires after so long")
 	return c
@@ -167,7 +167,7 @@
 			fmt.Fprintf(out, "cordon of %s confirmed: no dispatcher will start anything there%s\n", id, lapsedText(c))
 			return nil
 		}
-		missing = fmt.Sprintf("%d of %d dispatchers have taken it in, missing: %s", c.Reached, c.Total, missingText(c))
+		missing = fmt.Sprintf("%d of %d dispatchers have taken it in, missing: %s", c.Reached, c.Total, stragglersText(c))
 		select {
 		case <-ctx.Done():
 			return failure{fmt.Errorf("%s is not confirmed: %s", id, missing)}
@@ -184,7 +184,7 @@
 }
 
 // missingText names who may yet start something.
-func missingText(c statemachine.CordonStatus) string {
+func stragglersText(c statemachine.CordonStatus) string {
 	var names []string
 	for _, m := range c.Stragglers {
 		switch {
@@ -203,15 +203,15 @@
 }
 
 func uncordonCommand(env func(string) string) *cobra.Command {
-	var o operator
+	var o clusterCommand
 	c := &cobra.Command{Use: "uncordon ID", Short: "End a cordon, once every dispatcher knows of it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, stop, client, cluster, err := o.begin()
+			ctx, stop, client, cluster, err := o.connect()
 			if err != nil {
 				return err
 			}
 			defer stop()
-			a, err := o.change(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindLift, Name: args[0]})
+			a, err := o.submit(ctx, client, cluster, ruleset.Change{Kind: ruleset.KindLift, Name: args[0]})
 			if err != nil {
 				return err
 			}
@@ -233,12 +233,12 @@
 			}
 			return nil
 		}}
-	o.changing(c, env)
+	o.registerChange(c, env)
 	return c
 }
 
 func changeCommand(env func(string) string) *cobra.Command {
-	var o operator
+	var o clusterCommand
 	c := &cobra.Command{Use: "change FILE", Short: "Ask for changes of the rules, a JSON list as docs/accord.md has it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
@@ -251,27 +251,27 @@
 			if err := d.Decode(&changes); err != nil {
 				return fmt.Errorf("%s: expected a list of changes: %w", args[0], err)
 			}
-			ctx, stop, client, cluster, err := o.begin()
+			ctx, stop, client, cluster, err := o.connect()
 			if err != nil {
 				return err
 			}
 			defer stop()
-			a, err := o.change(ctx, client, cluster, changes...)
+			a, err := o.submit(ctx, client, cluster, changes...)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "agreed as version %d; %d of %d changes wait until all dispatchers know of them\n", a.Version, a.PendingCount, len(changes))
 			return nil
 		}}
-	o.changing(c, env)
+	o.registerChange(c, env)
 	return c
 }
 
 func retireCommand(env func(string) string) *cobra.Command {
-	var o operator
+	var o clusterCommand
 	c := &cobra.Command{Use: "retire NAME", Short: "Vouch that a dispatcher's process has ended for good", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, stop, client, cluster, err := o.begin()
+			ctx, stop, client, cluster, err := o.connect()
 			if err != nil {
 				return err
 			}
@@ -283,16 +283,16 @@
 			fmt.Fprintf(c.OutOrStdout(), "%s is not waited for any more, once its leases are over\n", args[0])
 			return nil
 		}}
-	o.changing(c, env)
+	o.registerChange(c, env)
 	return c
 }
 
 func statusCommand() *cobra.Command {
-	var o operator
+	var o clusterCommand
 	var asJSON bool
 	c := &cobra.Command{Use: "status", Short: "Tell who leads, which rules hold, and whom they have reached", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ctx, stop, client, _, err := o.begin()
+			ctx, stop, client, _, err := o.connect()
 			if err != nil {
 				return err
 			}
@@ -309,7 +309,7 @@
 			printStatus(c.OutOrStdout(), s)
 			return nil
 		}}
-	o.flags(c)
+	o.register(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "the whole record")
 	return c
 }
@@ -322,7 +322,7 @@
 	for _, c := range s.Cordons {
 		fmt.Fprintf(w, "cordon\t%s\t%s\t%d of %d\t%s: %s", c.ID, c.State, c.Reached, c.Total, c.Author, c.Reason)
 		if c.State == cordon.Propagating {
-			fmt.Fprintf(w, "; missing: %s", missingText(c))
+			fmt.Fprintf(w, "; missing: %s", stragglersText(c))
 		}
 		fmt.Fprintf(w, "%s\n", lapsedText(c))
 	}
@@ -335,21 +335,21 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Sites)) {
 		x := s.Sites[name]
-		hour := "not enough is known of it"
+		forecast := "not enough is known of it"
 		if x.HasForecast {
-			hour = fmt.Sprintf("up in an hour: %.2f", x.UpInAnHour)
+			forecast = fmt.Sprintf("up in an hour: %.2f", x.UpInAnHour)
 		}
-		fmt.Fprintf(w, "site\t%s\t%s\tsince %s\t%s\n", name, x.State, time.UnixMilli(x.SinceMs).UTC().Format(time.RFC3339), hour)
+		fmt.Fprintf(w, "site\t%s\t%s\tsince %s\t%s\n", name, x.State, time.UnixMilli(x.SinceMs).UTC().Format(time.RFC3339), forecast)
 	}
 	for _, d := range s.Dispatchers {
-		heard := "not heard by this leader"
+		lastBeat := "not heard by this leader"
 		if d.Heard {
-			heard = "heard " + d.Ago + " ago"
+			lastBeat = "heard " + d.Ago + " ago"
 		}
 		if len(d.Unknown) > 0 {
-			heard += "; does not understand " + strings.Join(d.Unknown, ", ")
+			lastBeat += "; does not understand " + strings.Join(d.Unknown, ", ")
 		}
-		fmt.Fprintf(w, "dispatcher\t%s\tholds %d\t%s\t%s\n", d.Name, d.Holds, d.Mode, heard)
+		fmt.Fprintf(w, "dispatcher\t%s\tholds %d\t%s\t%s\n", d.Name, d.Holds, d.Mode, lastBeat)
 	}
 	for _, name := range s.Expected {
 		fmt.Fprintf(w, "expected\t%s\tnot in the record\n", name)
--- a/cmd/merlinarch/ledger.go
+++ b/cmd/merlinarch/ledger.go
@@ -34,7 +34,7 @@
 
 func ledgerCommand(env func(string) string) *cobra.Command {
 	root := &cobra.Command{Use: "ledger", Short: "Read, check and correct ledgers of use; no router may have them open"}
-	var f files
+	var f configFlags
 	// The period's length and the names come from the same files as the router's.
 	options := func() (ledger.Options, error) {
 		c, s, err := f.load(env)
@@ -65,17 +65,17 @@
 			if err != nil {
 				return err
 			}
-			var bad error
+			var failures error
 			for _, path := range args {
 				n, err := ledger.Verify(path, o)
 				if err != nil {
-					bad = errors.Join(bad, err)
+					failures = errors.Join(failures, err)
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good, %d entries\n", path, n)
 			}
-			if bad != nil {
-				return failure{bad}
+			if failures != nil {
+				return failure{failures}
 			}
 			return nil
 		}}
@@ -125,7 +125,7 @@
 	fl.StringVar(&n.Author, "author", "", "who")
 	fl.StringVar(&n.Key, "key", "", "a name of its own, for repeats")
 	for _, c := range []*cobra.Command{show, verify, correct} {
-		f.flags(c)
+		f.register(c)
 		root.AddCommand(c)
 	}
 	return root
@@ -149,17 +149,17 @@
 
 // printLedger writes a view; unconfirmed uses are told apart, never within the rows.
 func printLedger(w io.Writer, v ledger.View, s usage.Settings, period, tenant, format string) error {
-	only := usage.Period(0)
+	selected := usage.Period(0)
 	if period != "" {
 		at, err := time.Parse(time.RFC3339, period)
 		if err != nil {
 			return fmt.Errorf("--period: expected a time such as 2026-12-01T12:00:00Z, got %q", period)
 		}
-		only = s.PeriodAt(at)
+		selected = s.PeriodAt(at)
 	}
 	rows := []row{}
 	for _, st := range v.Statements {
-		if period != "" && st.Period != only {
+		if period != "" && st.Period != selected {
 			continue
 		}
 		for _, l := range st.Lines {
--- a/cmd/merlinarch/main.go
+++ b/cmd/merlinarch/main.go
@@ -45,7 +45,7 @@
 		}}
 	root.SetOut(out)
 	root.SetErr(errOut)
-	root.SetArgs(twoDashes(args))
+	root.SetArgs(normalizeDashes(args))
 	root.AddCommand(serveCommand(env), checkCommand(env), ledgerCommand(env), cordonCommand(env), uncordonCommand(env),
 		changeCommand(env), retireCommand(env), statusCommand(), registrarCommand(), rehearseCommand(), versionCommand())
 	err := root.Execute()
@@ -60,7 +60,7 @@
 }
 
 // twoDashes writes the long flags that were once told with one dash as the library wants them.
-func twoDashes(args []string) []string {
+func normalizeDashes(args []string) []string {
 	out := slices.Clone(args)
 	for i, a := range out {
 		for _, name := range []string{"-config", "-log-level", "-help"} {
@@ -73,17 +73,17 @@
 }
 
 // files are the flags of serve and check.
-type files struct{ config, level, settings string }
+type configFlags struct{ config, level, settings string }
 
-func (f *files) flags(c *cobra.Command) {
+func (f *configFlags) register(c *cobra.Command) {
 	c.Flags().StringVar(&f.config, "config", "", "the configuration `FILE`; "+config.EnvFile+" if not given")
 	c.Flags().StringVar(&f.level, "log-level", "info", "debug, info, warn or error")
 	c.Flags().StringVar(&f.settings, "settings", "", "`FILE` that switches on what the platform does not ask for; all off without")
 }
 
 func serveCommand(env func(string) string) *cobra.Command {
-	var f files
-	c := &cobra.Command{Use: "serve", Short: "Run the router", Args: noMore, Long: `Run the router.
+	var f configFlags
+	c := &cobra.Command{Use: "serve", Short: "Run the router", Args: refuseArguments, Long: `Run the router.
 
 SIGUSR1 prints its counters, SIGHUP reads the addresses of discovery and platform anew, SIGTERM ends it once all
 is answered. LB_NAME, LB_LISTEN and LB_DISCOVERY come before what the configuration says.`,
@@ -101,14 +101,14 @@
 			}
 			return nil
 		}}
-	f.flags(c)
+	f.register(c)
 	return c
 }
 
 func checkCommand(env func(string) string) *cobra.Command {
-	var f files
+	var f configFlags
 	c := &cobra.Command{Use: "check", Short: "Read the configuration and tell what is wrong with it, without serving",
-		Args: noMore, RunE: func(cmd *cobra.Command, _ []string) error {
+		Args: refuseArguments, RunE: func(cmd *cobra.Command, _ []string) error {
 			c, s, err := f.load(env)
 			if err != nil {
 				return err
@@ -121,12 +121,12 @@
 				c.Limits.MaxHeld, c.Limits.ClientConns, c.Limits.ServerConns)
 			return nil
 		}}
-	f.flags(c)
+	f.register(c)
 	return c
 }
 
 // load reads the configuration and the settings, whole.
-func (f files) load(env func(string) string) (config.Config, features.Features, error) {
+func (f configFlags) load(env func(string) string) (config.Config, features.Features, error) {
 	c, err := config.Load(f.config, env)
 	if err != nil {
 		return c, features.Features{}, err
@@ -143,7 +143,7 @@
 const registrarProgram = "merlinarch-registrar"
 
 // beside is the path of a program that lies where this one does.
-func beside(program string) (string, error) {
+func siblingPath(program string) (string, error) {
 	own, err := os.Executable()
 	if err != nil {
 		return "", failure{err}
@@ -153,19 +153,19 @@
 
 // rehearseCommand goes over to the tools' program.
 func rehearseCommand() *cobra.Command {
-	return goesOver("rehearse", "Practise an incident: check, run, live, sweep, compare", toolsProgram)
+	return delegateCommand("rehearse", "Practise an incident: check, run, live, sweep, compare", toolsProgram)
 }
 
 // registrarCommand goes over to the registrars' program.
 func registrarCommand() *cobra.Command {
-	return goesOver("registrar", "Keep the agreed rules: init, join, run", registrarProgram)
+	return delegateCommand("registrar", "Keep the agreed rules: init, join, run", registrarProgram)
 }
 
 // goesOver is a command that another program carries out, in this process.
-func goesOver(use, short, program string) *cobra.Command {
+func delegateCommand(use, short, program string) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short,
 		DisableFlagParsing: true, RunE: func(_ *cobra.Command, args []string) error {
-			path, err := beside(program)
+			path, err := siblingPath(program)
 			if err != nil {
 				return err
 			}
@@ -185,30 +185,30 @@
 	if json.Valid(data) {
 		return template.ParseObject(path, string(data))
 	}
-	tools, err := beside(toolsProgram)
+	tools, err := siblingPath(toolsProgram)
 	if err != nil {
 		return nil, err
 	}
-	var out, wrong strings.Builder
+	var stdout, stderr strings.Builder
 	c := exec.Command(tools, "settings", path)
-	c.Stdout, c.Stderr = &out, &wrong
+	c.Stdout, c.Stderr = &stdout, &stderr
 	if err := c.Run(); err != nil {
-		if wrong.Len() == 0 {
+		if stderr.Len() == 0 {
 			return nil, failure{fmt.Errorf("%s can't be evaluated: %w (%s is built beside merlinarch; plain JSON does without)", path, err, toolsProgram)}
 		}
-		return nil, errors.New(strings.TrimSpace(strings.TrimPrefix(wrong.String(), "merlinarch rehearse: ")))
+		return nil, errors.New(strings.TrimSpace(strings.TrimPrefix(stderr.String(), "merlinarch rehearse: ")))
 	}
-	return template.ParseObject(path, out.String())
+	return template.ParseObject(path, stdout.String())
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: noMore, Run: func(c *cobra.Command, _ []string) {
+	return &cobra.Command{Use: "version", Short: "Print the version", Args: refuseArguments, Run: func(c *cobra.Command, _ []string) {
 		fmt.Fprintln(c.OutOrStdout(), version())
 	}}
 }
 
 // noMore refuses arguments.
-func noMore(_ *cobra.Command, args []string) error {
+func refuseArguments(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected argument %q", args[0])
 	}
--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -37,10 +37,10 @@
 )
 
 // nobody stands for a platform or for peers that the configuration does not have.
-type nobody struct{ count *metrics.Registry }
+type discard struct{ counters *metrics.Registry }
 
-func (n nobody) Vote(logic.Vote) { n.count.Inc("platform.votes_dropped") }
-func (n nobody) Post(logic.Post) { n.count.Inc("peers.not_sent") }
+func (n discard) Vote(logic.Vote) { n.counters.Inc("platform.votes_dropped") }
+func (n discard) Post(logic.Post) { n.counters.Inc("peers.not_sent") }
 
 // serve runs the router until SIGTERM or SIGINT, and until all that it has taken is answered.
 func serve(c config.Config, f features.Features, log *zap.Logger) (err error) {
@@ -48,138 +48,138 @@
 	debug.SetMemoryLimit(c.Limits.MemoryBytes)
 	debug.SetGCPercent(c.Limits.GCPercent)
 	// Danger: signals of one kind, sent often, would push out those of another; each has its own place.
-	ending, asked, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(ending, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(asked, syscall.SIGUSR1)
+	terminate, printCounters, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(printCounters, syscall.SIGUSR1)
 	signal.Notify(reload, syscall.SIGHUP)
-	for _, s := range []chan os.Signal{ending, asked, reload} {
+	for _, s := range []chan os.Signal{terminate, printCounters, reload} {
 		defer signal.Stop(s)
 	}
 
-	count, clock := metrics.New(), gateway.NewClock()
+	counters, clock := metrics.New(), gateway.NewClock()
 	// No keep-alive probes: they cost each new connection four system calls, and idle ones close for want of room.
-	accept := net.ListenConfig{KeepAlive: -1}
-	listen, err := accept.Listen(context.Background(), "tcp", c.Listen)
+	listenConfig := net.ListenConfig{KeepAlive: -1}
+	listener, err := listenConfig.Listen(context.Background(), "tcp", c.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	defer listen.Close()
-	var book *ledger.Ledger
+	defer listener.Close()
+	var usageLedger *ledger.Ledger
 	if f.Ledger.File != "" {
-		if book, err = ledger.Open(f.Ledger.File, ledgerOptions(f.Ledger, c.Settings, c.Name)); err != nil {
+		if usageLedger, err = ledger.Open(f.Ledger.File, ledgerOptions(f.Ledger, c.Settings, c.Name)); err != nil {
 			return err
 		}
-		defer func() { err = errors.Join(err, book.Close()) }() // last: all that was taken is answered by then
+		defer func() { err = errors.Join(err, usageLedger.Close()) }() // last: all that was taken is answered by then
 	}
-	parts := gateway.Outputs{Platform: nobody{count}, Peers: nobody{count}}
-	var others *peers.Peers
+	outputs := gateway.Outputs{Platform: discard{counters}, Peers: discard{counters}}
+	var peerExchange *peers.Peers
 	if c.PeerListen != "" {
-		if others, err = peers.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Limits, count, log); err != nil {
+		if peerExchange, err = peers.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Limits, counters, log); err != nil {
 			return err
 		}
-		parts.Peers = others
+		outputs.Peers = peerExchange
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	gw := gateway.New(logic.New(c.Settings, c.Seed), c.Limits, clock, count, log)
-	pool := servers.New(c.Limits, count)
-	parts.Servers = pool
-	var work sync.WaitGroup
-	var rules *accord.Follower
+	gw := gateway.New(logic.New(c.Settings, c.Seed), c.Limits, clock, counters, log)
+	pool := servers.New(c.Limits, counters)
+	outputs.Servers = pool
+	var background sync.WaitGroup
+	var follower *accord.Follower
 	if f.Accord.Enabled() {
-		rules = accord.NewFollower(followerOptions(f.Accord, c), gw, gw.UseRules(c.Settings.WarmUpTime), count, log)
-		rules.Printer = printer{gw, c.Limits.MaxWait}
-		pool.Gate = rules.Gate
-		work.Go(func() { rules.Run(ctx) })
+		follower = accord.NewFollower(followerOptions(f.Accord, c), gw, gw.UseRules(c.Settings.WarmUpTime), counters, log)
+		follower.Printer = dispatchSender{gw, c.Limits.MaxWait}
+		pool.Gate = follower.Gate
+		background.Go(func() { follower.Run(ctx) })
 	}
-	if others != nil {
-		work.Go(func() { others.Run(ctx, gw) })
+	if peerExchange != nil {
+		background.Go(func() { peerExchange.Run(ctx, gw) })
 	}
-	watcher := discovery.New(c.Discovery, backoff.ForDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, count, log)
+	watcher := discovery.New(c.Discovery, backoff.ForDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, counters, log)
 	if c.InitialHosts != nil { // the module's first event is the list, the next the platform's news
 		if err := watcher.Known(c.InitialHosts); err != nil {
 			log.Warn("starting without a list", zap.Error(err))
 		}
 	}
-	var desk *platform.Client
+	var platformClient *platform.Client
 	if c.Platform != "" {
-		desk = platform.New(c.Platform, backoff.ForPlatform(c.Seed), c.Limits, gw, count, log)
-		parts.Platform = desk
-		if news, err := platform.DecodeNews(c.InitialRelease); err == nil {
-			gw.UpdateRelease(news)
+		platformClient = platform.New(c.Platform, backoff.ForPlatform(c.Seed), c.Limits, gw, counters, log)
+		outputs.Platform = platformClient
+		if status, err := platform.DecodeNews(c.InitialRelease); err == nil {
+			gw.UpdateRelease(status)
 		} else {
 			log.Warn("starting without news of the newest build", zap.Error(err))
 		}
-		work.Go(func() { desk.Run(ctx) })
+		background.Go(func() { platformClient.Run(ctx) })
 	}
-	work.Go(func() { gw.Run(ctx, parts) })
-	work.Go(func() { watcher.Run(ctx) })
+	background.Go(func() { gw.Run(ctx, outputs) })
+	background.Go(func() { watcher.Run(ctx) })
 
-	front := clients.New(c.Limits, c.Settings, gw, count, log)
-	if book != nil {
-		front.Accounts = ledger.NewCounter(book, c.Settings, f.Ledger.OnFailure == "refuse", count, log)
+	clientServer := clients.New(c.Limits, c.Settings, gw, counters, log)
+	if usageLedger != nil {
+		clientServer.Accounts = ledger.NewCounter(usageLedger, c.Settings, f.Ledger.OnFailure == "refuse", counters, log)
 	}
-	if rules != nil {
-		front.Rules = rules.Gate
+	if follower != nil {
+		clientServer.Rules = follower.Gate
 	}
 	served := make(chan error, 1)
-	go func() { served <- front.Serve(listen) }()
+	go func() { served <- clientServer.Serve(listener) }()
 	log.Info("serving", zap.String("name", c.Name), zap.String("listen", c.Listen))
 
 	drained := make(chan error, 1)
-	for over := false; !over; {
+	for finished := false; !finished; {
 		select {
 		case err = <-served:
-			if served = nil; ending != nil { // without a signal
-				err, over = errors.Join(err, errors.New("stopped serving")), true
+			if served = nil; terminate != nil { // without a signal
+				err, finished = errors.Join(err, errors.New("stopped serving")), true
 			}
-		case <-asked:
-			count.Log(log, "asked for")
+		case <-printCounters:
+			counters.Log(log, "asked for")
 		case <-reload: // also while it ends: what is still sent keeps to the latest news
-			c = move(c, watcher, desk, count, log)
-		case s := <-ending:
+			c = reloadConfig(c, watcher, platformClient, counters, log)
+		case s := <-terminate:
 			log.Info("ending", zap.String("signal", s.String()))
-			ending = nil
-			go func() { drained <- front.Drain() }()
+			terminate = nil
+			go func() { drained <- clientServer.Drain() }()
 		case err = <-drained:
-			over = true
+			finished = true
 		}
 	}
 	stop()
 	pool.Close()
-	work.Wait()
-	count.Log(log, "end")
+	background.Wait()
+	counters.Log(log, "end")
 	return err
 }
 
 // printer carries out planned work as an ordinary request: through the exchange and the module.
-type printer struct {
-	gateway *gateway.Gateway
-	longest time.Duration
+type dispatchSender struct {
+	gateway    *gateway.Gateway
+	maxTimeout time.Duration
 }
 
 // Print sends a piece of work under its key, with the fence of this claim, and tells whether the receiver has it.
-func (p printer) Print(ctx context.Context, t statemachine.Task) bool {
-	until := time.Now().Add(min(p.longest, max(time.Second, 4*time.Duration(t.Plan.ExpectedDurationMs*float64(time.Millisecond)))))
-	if latest := time.UnixMilli(t.Plan.Latest); latest.Before(until) {
-		until = latest
+func (p dispatchSender) Print(ctx context.Context, t statemachine.Task) bool {
+	deadline := time.Now().Add(min(p.maxTimeout, max(time.Second, 4*time.Duration(t.Plan.ExpectedDurationMs*float64(time.Millisecond)))))
+	if latest := time.UnixMilli(t.Plan.Latest); latest.Before(deadline) {
+		deadline = latest
 	}
-	joint := "?"
+	separator := "?"
 	if strings.Contains(t.Plan.Target, "?") {
-		joint = "&"
+		separator = "&"
 	}
-	ex := exchange.New(exchange.Message{Method: http.MethodPost, Target: t.Plan.Target + joint + "fence=" + strconv.FormatUint(t.Fence, 10),
+	ex := exchange.New(exchange.Message{Method: http.MethodPost, Target: t.Plan.Target + separator + "fence=" + strconv.FormatUint(t.Fence, 10),
 		ID: fmt.Sprintf("%s-%d", t.Dispatch, t.Fence), DedupKey: "dispatch-" + t.Dispatch, Body: []byte(t.Plan.Body)},
-		exchange.Fields{Class: t.Plan.Class, RequiredZone: t.Plan.Site}, until)
+		exchange.Fields{Class: t.Plan.Class, RequiredZone: t.Plan.Site}, deadline)
 	ex.DispatchID = t.Dispatch
 	if p.gateway.Submit(ex) != nil {
 		return false
 	}
-	over := time.NewTimer(time.Until(until))
-	defer over.Stop()
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	select {
 	case <-ex.Done():
-	case <-over.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	if ex.Finish(exchange.Answer{Status: exchange.TimedOut}) {
@@ -197,22 +197,22 @@
 }
 
 // move goes over to the addresses that the configuration file names now. A file that can't be used changes nothing.
-func move(c config.Config, watcher *discovery.Watcher, desk *platform.Client, count *metrics.Registry,
+func reloadConfig(c config.Config, watcher *discovery.Watcher, platformClient *platform.Client, counters *metrics.Registry,
 	log *zap.Logger) config.Config {
 	next, ignored, err := c.Reload()
 	if err != nil {
-		count.Inc("config.unusable")
+		counters.Inc("config.unusable")
 		log.Warn("new configuration can't be used, going on with the old one", zap.Error(err))
 		return c
 	}
-	count.Inc("config.read_anew")
+	counters.Inc("config.read_anew")
 	log.Info("configuration read anew", zap.String("discovery", next.Discovery), zap.String("platform", next.Platform),
 		zap.Strings("changed_but_ignored", ignored))
 	if next.Discovery != c.Discovery {
 		watcher.Move(next.Discovery)
 	}
 	if next.Platform != c.Platform {
-		desk.Move(next.Platform)
+		platformClient.Move(next.Platform)
 	}
 	return next
 }
