--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -1,5 +1,6 @@
-// Command merlinarch-registrar is one of the three or five processes that keep the agreed record. It is a program of its
-// own, since what it links would take a third more of a router's memory at rest; `merlinarch registrar` starts it.
+// Command merlinarch-registrar is a registrar: one of the three or five members of the Raft group that replicates the
+// configuration. It is a separate program, since the libraries that it links would add a third to the memory of an idle
+// router; `merlinarch registrar` starts it.
 package main
 
 import (
@@ -25,23 +26,24 @@
 // Exit codes.
 const (
 	exitOK      = 0
-	exitFailed  = 1 // it could not run, or can't go on
-	exitBadCall = 2 // the command line or the settings are wrong
-	exitReplace = 3 // its disk is not what the others saw, or is lost or spoilt, or it was replaced: starting it again does not help
+	exitFailed  = 1 // the registrar could not start or had to stop
+	exitBadCall = 2 // the command line or the settings are invalid
+	exitReplace = 3 // its store is older than the other members know, missing or corrupt, or it was replaced: a restart does not help
 )
 
-// failure is an error that is not the caller's.
+// failure marks an error that the caller's input did not cause; it leads to exit code 1.
 type failure struct{ error }
 
 func (f failure) Unwrap() error { return f.error }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// run executes one command line and returns the exit code.
 func run(args []string, out, errOut io.Writer) int {
-	root := &cobra.Command{Use: "merlinarch registrar", Short: "Keep the agreed record", SilenceUsage: true, SilenceErrors: true,
+	root := &cobra.Command{Use: "merlinarch registrar", Short: "Run a member of the Raft group that replicates the rules", SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
-		Long: `Keep the rules that all dispatchers agree on, with two or four other registrars. docs/accord.md tells how, and
-docs/oncall.md what to do when one is lost.`}
+		Long: `Replicate the rules that all dispatchers follow, together with two or four other registrars. docs/accord.md describes
+how, and docs/oncall.md what to do when a registrar is lost.`}
 	root.SetOut(out)
 	root.SetErr(errOut)
 	root.SetArgs(args)
@@ -62,18 +64,20 @@
 	return exitBadCall
 }
 
-// options are the flags of all commands.
+// options holds the flags that all commands have.
 type options struct{ settings, name, dir, level string }
 
+// register adds the flags to a command.
 func (o *options) register(c *cobra.Command) {
-	c.Flags().StringVar(&o.settings, "settings", "", "`FILE` of settings; its part accord counts")
+	c.Flags().StringVar(&o.settings, "settings", "", "`FILE` of settings; its section accord is used")
 	c.Flags().StringVar(&o.name, "name", "", "this registrar's name in the settings")
-	c.Flags().StringVar(&o.dir, "dir", ".", "`DIR` that keeps its record; it has to last")
+	c.Flags().StringVar(&o.dir, "dir", ".", "`DIR` of its store; it has to be on persistent storage")
 	c.Flags().StringVar(&o.level, "log-level", "info", "debug, info, warn or error")
 	c.MarkFlagRequired("settings")
 	c.MarkFlagRequired("name")
 }
 
+// load reads the settings and returns the options of the registrar.
 func (o *options) load() (registrar.Options, error) {
 	f, err := features.Load(o.settings, jsonnet.Load)
 	if err != nil {
@@ -94,7 +98,7 @@
 
 func initCommand() *cobra.Command {
 	var o options
-	c := &cobra.Command{Use: "init", Short: "Make the disk of one of the registrars that a cluster begins with, once", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "init", Short: "Create the store of one of the first registrars of a cluster, once", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := o.load()
 			if err != nil {
@@ -113,7 +117,7 @@
 func joinCommand() *cobra.Command {
 	var o options
 	var timeout time.Duration
-	c := &cobra.Command{Use: "join", Short: "Make a new disk, and take the place of the registrar of this name, or a new one", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "join", Short: "Create a new store and join the cluster, as a new registrar or in place of the one of this name", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := o.load()
 			if err != nil {
@@ -128,13 +132,13 @@
 			return nil
 		}}
 	o.register(c)
-	c.Flags().DurationVar(&timeout, "patience", 30*time.Second, "how long to ask for it")
+	c.Flags().DurationVar(&timeout, "patience", 30*time.Second, "how long to retry joining")
 	return c
 }
 
 func runCommand() *cobra.Command {
 	var o options
-	c := &cobra.Command{Use: "run", Short: "Keep the record until SIGTERM", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	c := &cobra.Command{Use: "run", Short: "Run the registrar until SIGTERM", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		r, err := o.load()
 		if err != nil {
 			return err
--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -26,7 +26,7 @@
 	"merlinarch/internal/features"
 )
 
-// printAccord tells what the settings promise.
+// printAccord prints the mode, the staleness bound D and the expiry wait that the settings lead to.
 func printAccord(w io.Writer, a features.Accord) {
 	t := a.LeaseTerms()
 	fmt.Fprintf(w, "accord: cluster %s, %d registrars, without a lease: %s\n"+
@@ -34,34 +34,35 @@
 		a.Cluster, len(a.Registrars), a.WithoutLease, t.Length, t.Drift, t.Send, t.StalenessBound().Round(time.Millisecond), t.ExpiryWait(t.Longest).Round(time.Millisecond))
 }
 
-// operator is what the commands that speak with the registrars have in common.
+// clusterCommand holds the flags that the commands which call the registrars share.
 type clusterCommand struct {
 	settings, author, reason  string
 	timeout                   time.Duration
 	wait, force, changesRules bool
 }
 
+// register adds the flags that all of these commands have.
 func (o *clusterCommand) register(c *cobra.Command) {
-	c.Flags().StringVar(&o.settings, "settings", "", "`FILE` of settings; its part accord names the registrars")
-	c.Flags().DurationVar(&o.timeout, "patience", 30*time.Second, "how long to go on asking, and to wait")
+	c.Flags().StringVar(&o.settings, "settings", "", "`FILE` of settings; its section accord names the registrars")
+	c.Flags().DurationVar(&o.timeout, "patience", 30*time.Second, "how long to retry and to wait in total")
 	c.MarkFlagRequired("settings")
 }
 
-// changing are the flags of commands that change the rules.
+// registerChange adds the flags of commands that change the rules.
 func (o *clusterCommand) registerChange(c *cobra.Command, env func(string) string) {
 	o.register(c)
 	o.changesRules = true
-	c.Flags().StringVar(&o.reason, "reason", "", "why; kept in the record")
-	c.Flags().StringVar(&o.author, "author", env("USER"), "who; kept in the record")
-	c.Flags().BoolVar(&o.wait, "wait", false, "end once it is confirmed, or tell who is missing")
-	c.Flags().BoolVar(&o.force, "force", false, "also against the budget, or the last server of a class")
+	c.Flags().StringVar(&o.reason, "reason", "", "why the change is made; stored with it")
+	c.Flags().StringVar(&o.author, "author", env("USER"), "who makes the change; stored with it")
+	c.Flags().BoolVar(&o.wait, "wait", false, "wait until all dispatchers have confirmed it; on timeout name those that have not")
+	c.Flags().BoolVar(&o.force, "force", false, "allow it even if it exceeds the budget or closes the last server of a class")
 	c.MarkFlagRequired("reason")
 }
 
-// begin reads the settings and makes a client. The context ends with the patience, or with a signal.
+// connect reads the settings and creates a client. The context ends after the timeout or on SIGINT or SIGTERM.
 func (o *clusterCommand) connect() (context.Context, func(), *accord.Client, string, error) {
 	if o.changesRules && o.author == "" {
-		return nil, nil, nil, "", errors.New("--author: expected who asks for it, as USER is not set")
+		return nil, nil, nil, "", errors.New("--author: expected the name of who makes the change, as USER is not set")
 	}
 	f, err := features.Load(o.settings, readSettings)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return ctx, func() { cancel(); stop() }, accord.NewClient(f.Accord.Registrars), f.Accord.Cluster, nil
 }
 
-// status asks the leader how the record stands.
+// leaderStatus asks the leader for its status.
 func leaderStatus(ctx context.Context, c *accord.Client) (accord.Status, error) {
 	var s accord.Status
 	if err := c.Do(ctx, accord.PathStatus, nil, &s); err != nil {
@@ -84,7 +85,7 @@
 	return s, nil
 }
 
-// change asks for changes on the present version, anew where another came first.
+// submit requests changes based on the current version, and retries if another change was accepted first.
 func (o *clusterCommand) submit(ctx context.Context, c *accord.Client, cluster string, changes ...ruleset.Change) (ruleset.Answer, error) {
 	for {
 		s, err := leaderStatus(ctx, c)
@@ -97,7 +98,7 @@
 		if err := c.Do(ctx, accord.PathAsk, ask, &a); err != nil {
 			return a, failure{err}
 		}
-		if a.Refused == ruleset.RefusedStale { // others change the rules too
+		if a.Refused == ruleset.RefusedStale { // another change was accepted first
 			continue
 		}
 		if a.Refused != "" {
@@ -111,9 +112,9 @@
 	var o clusterCommand
 	var born int64
 	var expires time.Duration
-	c := &cobra.Command{Use: "cordon HOST", Short: "Close a server to new work at every dispatcher", Args: cobra.ExactArgs(1),
-		Long: `Close a server to new work at every dispatcher. It may be switched off once the cordon is confirmed: no dispatcher will
-start anything there then. Exit code 1 if it was refused, or is not confirmed in time.`,
+	c := &cobra.Command{Use: "cordon HOST", Short: "Stop all dispatchers from sending new requests to a server", Args: cobra.ExactArgs(1),
+		Long: `Stop all dispatchers from sending new requests to a server. Once the cordon is confirmed, no dispatcher starts an attempt
+there and the server may be switched off. Exit code 1 if the cordon is refused or not confirmed in time.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx, stop, client, cluster, err := o.connect()
 			if err != nil {
@@ -138,21 +139,22 @@
 			return waitConfirmed(ctx, c.OutOrStdout(), client, t.ID())
 		}}
 	o.registerChange(c, env)
-	c.Flags().Int64Var(&born, "born", 0, "only the life of the server that started then (Unix time in `MS`); else any of its name")
-	c.Flags().DurationVar(&expires, "for", 0, "it expires after so long")
+	c.Flags().Int64Var(&born, "born", 0, "only the incarnation that started at this time (Unix time in `MS`); by default every incarnation of the name")
+	c.Flags().DurationVar(&expires, "for", 0, "time until the cordon expires")
 	return c
 }
 
-// printBounds tells where D is longer than the settings say.
+// printBounds prints the sites whose staleness bound D is longer than the settings lead to.
 func printBounds(out io.Writer, s accord.Status) {
 	for _, site := range slices.Sorted(maps.Keys(s.Bounds)) {
 		fmt.Fprintf(out, "site %s is about to be cut off: its dispatchers have longer leases, and D is %s there\n", site, s.Bounds[site])
 	}
 }
 
-// waitConfirmed waits until a cordon is confirmed, and tells who is missing where it is not in time.
+// waitConfirmed waits until a cordon is confirmed. If the context ends first, the error names the dispatchers that are
+// missing.
 func waitConfirmed(ctx context.Context, out io.Writer, client *accord.Client, id string) error {
-	missing := "no leader has told how far it is"
+	missing := "no leader has reported its progress"
 	for {
 		s, err := leaderStatus(ctx, client)
 		if err != nil {
@@ -167,7 +169,7 @@
 			fmt.Fprintf(out, "cordon of %s confirmed: no dispatcher will start anything there%s\n", id, lapsedText(c))
 			return nil
 		}
-		missing = fmt.Sprintf("%d of %d dispatchers have taken it in, missing: %s", c.Reached, c.Total, stragglersText(c))
+		missing = fmt.Sprintf("%d of %d dispatchers have applied it, missing: %s", c.Reached, c.Total, stragglersText(c))
 		select {
 		case <-ctx.Done():
 			return failure{fmt.Errorf("%s is not confirmed: %s", id, missing)}
@@ -176,6 +178,7 @@
 	}
 }
 
+// lapsedText names the dispatchers that did not acknowledge a confirmed cordon but whose leases have expired.
 func lapsedText(c statemachine.CordonStatus) string {
 	if c.Confirmed == nil || len(c.Confirmed.Lapsed) == 0 {
 		return ""
@@ -183,7 +186,7 @@
 	return "; not heard, but without a lease: " + strings.Join(c.Confirmed.Lapsed, ", ")
 }
 
-// missingText names who may yet start something.
+// stragglersText names the dispatchers that may still start attempts on the server.
 func stragglersText(c statemachine.CordonStatus) string {
 	var names []string
 	for _, m := range c.Stragglers {
@@ -204,7 +207,7 @@
 
 func uncordonCommand(env func(string) string) *cobra.Command {
 	var o clusterCommand
-	c := &cobra.Command{Use: "uncordon ID", Short: "End a cordon, once every dispatcher knows of it", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "uncordon ID", Short: "Lift a cordon; it ends once every dispatcher knows of that", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx, stop, client, cluster, err := o.connect()
 			if err != nil {
@@ -227,7 +230,7 @@
 				}
 				select {
 				case <-ctx.Done():
-					return failure{errors.New("its lifting is not in force yet: some dispatcher holds a lease and has not heard of it")}
+					return failure{errors.New("the cordon is not lifted yet: at least one dispatcher holds a lease and has not received the change")}
 				case <-time.After(50 * time.Millisecond):
 				}
 			}
@@ -239,7 +242,7 @@
 
 func changeCommand(env func(string) string) *cobra.Command {
 	var o clusterCommand
-	c := &cobra.Command{Use: "change FILE", Short: "Ask for changes of the rules, a JSON list as docs/accord.md has it", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "change FILE", Short: "Request changes of the rules, given as a JSON list (see docs/accord.md)", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -269,7 +272,7 @@
 
 func retireCommand(env func(string) string) *cobra.Command {
 	var o clusterCommand
-	c := &cobra.Command{Use: "retire NAME", Short: "Vouch that a dispatcher's process has ended for good", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "retire NAME", Short: "Declare that a dispatcher's process has ended for good", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx, stop, client, cluster, err := o.connect()
 			if err != nil {
@@ -290,7 +293,7 @@
 func statusCommand() *cobra.Command {
 	var o clusterCommand
 	var asJSON bool
-	c := &cobra.Command{Use: "status", Short: "Tell who leads, which rules hold, and whom they have reached", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "status", Short: "Show the leader, the rules in force and which dispatchers have them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop, client, _, err := o.connect()
 			if err != nil {
@@ -310,10 +313,11 @@
 			return nil
 		}}
 	o.register(c)
-	c.Flags().BoolVar(&asJSON, "json", false, "the whole record")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the whole status as JSON")
 	return c
 }
 
+// printStatus writes a status as a table.
 func printStatus(out io.Writer, s accord.Status) {
 	fmt.Fprintf(out, "cluster %s, version %d, leader %s in term %d, D %s\n", s.Cluster, s.Head.Version, s.Role.Name, s.Role.Term, s.Bound)
 	printBounds(out, s)
--- a/cmd/merlinarch/ledger.go
+++ b/cmd/merlinarch/ledger.go
@@ -19,7 +19,7 @@
 	"merlinarch/logic"
 )
 
-// ledgerOptions are those of a router's ledger, or of a command that only reads one.
+// ledgerOptions returns the options of a router's ledger; the commands use the same ones.
 func ledgerOptions(f features.Ledger, s logic.Settings, instance string) ledger.Options {
 	o := ledger.Options{Instance: instance, Now: time.Now, Limits: ledger.DefaultLimits(),
 		Accounts: usage.Settings{Period: f.Period, Grace: f.Grace}}
@@ -33,9 +33,9 @@
 }
 
 func ledgerCommand(env func(string) string) *cobra.Command {
-	root := &cobra.Command{Use: "ledger", Short: "Read, check and correct ledgers of use; no router may have them open"}
+	root := &cobra.Command{Use: "ledger", Short: "Read, check and correct usage ledgers; no router may have them open"}
 	var f configFlags
-	// The period's length and the names come from the same files as the router's.
+	// The period's length and the names come from the files that the router reads.
 	options := func() (ledger.Options, error) {
 		c, s, err := f.load(env)
 		if err != nil {
@@ -44,7 +44,7 @@
 		return ledgerOptions(s.Ledger, c.Settings, c.Name), nil
 	}
 	var period, tenant, format string
-	show := &cobra.Command{Use: "show FILE", Short: "Print statements: what was counted, and with corrections", Args: cobra.ExactArgs(1),
+	show := &cobra.Command{Use: "show FILE", Short: "Print statements: usage as counted and as corrected", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			o, err := options()
 			if err != nil {
@@ -56,10 +56,10 @@
 			}
 			return printLedger(c.OutOrStdout(), v, o.Accounts, period, tenant, format)
 		}}
-	show.Flags().StringVar(&period, "period", "", "only the period that holds this time (RFC 3339)")
+	show.Flags().StringVar(&period, "period", "", "only the period that contains this time (RFC 3339)")
 	show.Flags().StringVar(&tenant, "tenant", "", "only this tenant")
 	show.Flags().StringVar(&format, "format", "table", "table, json or csv")
-	verify := &cobra.Command{Use: "verify FILE...", Short: "Check hashes, sequence and sums; exit code 1 and the first bad entry",
+	verify := &cobra.Command{Use: "verify FILE...", Short: "Check hashes, sequence and sums; a fault gives exit code 1 and the first bad entry",
 		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			o, err := options()
 			if err != nil {
@@ -81,7 +81,7 @@
 		}}
 	var n usage.Note
 	var at, outcome string
-	correct := &cobra.Command{Use: "correct FILE", Short: "Enter a correction; the same key again changes nothing", Args: cobra.ExactArgs(1),
+	correct := &cobra.Command{Use: "correct FILE", Short: "Enter a correction; repeating it with the same key has no effect", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			o, err := options()
 			if err != nil {
@@ -116,14 +116,14 @@
 			return nil
 		}}
 	fl := correct.Flags()
-	fl.StringVar(&at, "period", "", "a time in the period that it is about (RFC 3339)")
-	fl.StringVar(&n.Account.Tenant, "tenant", "", "the tenant, also one that has left")
+	fl.StringVar(&at, "period", "", "a time in the period to correct (RFC 3339)")
+	fl.StringVar(&n.Account.Tenant, "tenant", "", "the tenant; it may be one that is no longer configured")
 	fl.StringVar(&n.Account.Class, "class", "", "the class")
 	fl.StringVar(&outcome, "outcome", "served", "served, refused or failed")
-	fl.Int64Var(&n.Sum.Requests, "amount", 0, "requests, negative to take back")
-	fl.StringVar(&n.Reason, "reason", "", "why")
-	fl.StringVar(&n.Author, "author", "", "who")
-	fl.StringVar(&n.Key, "key", "", "a name of its own, for repeats")
+	fl.Int64Var(&n.Sum.Requests, "amount", 0, "number of requests to add; negative to subtract")
+	fl.StringVar(&n.Reason, "reason", "", "why the correction is made")
+	fl.StringVar(&n.Author, "author", "", "who makes the correction")
+	fl.StringVar(&n.Key, "key", "", "idempotency key of this correction")
 	for _, c := range []*cobra.Command{show, verify, correct} {
 		f.register(c)
 		root.AddCommand(c)
@@ -131,9 +131,10 @@
 	return root
 }
 
+// outcomeNames holds the printed names of outcomes, by usage.Outcome.
 var outcomeNames = []string{"served", "refused", "failed"}
 
-// row is one line of a statement as it is printed.
+// row is one printed line of a statement.
 type row struct {
 	Period    string  `json:"period"`
 	Closed    bool    `json:"closed"`
@@ -147,7 +148,8 @@
 	Worth     float64 `json:"worth"`
 }
 
-// printLedger writes a view; unconfirmed uses are told apart, never within the rows.
+// printLedger writes a view of a ledger. Unconfirmed requests are reported as a separate number and are not part of the
+// rows.
 func printLedger(w io.Writer, v ledger.View, s usage.Settings, period, tenant, format string) error {
 	selected := usage.Period(0)
 	if period != "" {
--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -36,18 +36,19 @@
 	"merlinarch/logic"
 )
 
-// nobody stands for a platform or for peers that the configuration does not have.
+// discard stands in for a platform or peers that the configuration does not name: it counts messages and drops them.
 type discard struct{ counters *metrics.Registry }
 
-func (n discard) Vote(logic.Vote) { n.counters.Inc("platform.votes_dropped") }
-func (n discard) Post(logic.Post) { n.counters.Inc("peers.not_sent") }
+func (d discard) Vote(logic.Vote) { d.counters.Inc("platform.votes_dropped") }
+func (d discard) Post(logic.Post) { d.counters.Inc("peers.not_sent") }
 
-// serve runs the router until SIGTERM or SIGINT, and until all that it has taken is answered.
+// serve runs the router until SIGTERM or SIGINT, then until all accepted requests are answered.
 func serve(c config.Config, f features.Features, log *zap.Logger) (err error) {
 	runtime.GOMAXPROCS(c.Limits.Cores)
 	debug.SetMemoryLimit(c.Limits.MemoryBytes)
 	debug.SetGCPercent(c.Limits.GCPercent)
-	// Danger: signals of one kind, sent often, would push out those of another; each has its own place.
+	// Each kind of signal has its own channel. In a shared channel of one slot, frequent signals of one kind would make
+	// the runtime drop those of another.
 	terminate, printCounters, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(printCounters, syscall.SIGUSR1)
@@ -57,7 +58,8 @@
 	}
 
 	counters, clock := metrics.New(), gateway.NewClock()
-	// No keep-alive probes: they cost each new connection four system calls, and idle ones close for want of room.
+	// TCP keep-alive is off: it costs four system calls for each new connection, and idle connections are closed anyway
+	// when room is needed.
 	listenConfig := net.ListenConfig{KeepAlive: -1}
 	listener, err := listenConfig.Listen(context.Background(), "tcp", c.Listen)
 	if err != nil {
@@ -69,7 +71,7 @@
 		if usageLedger, err = ledger.Open(f.Ledger.File, ledgerOptions(f.Ledger, c.Settings, c.Name)); err != nil {
 			return err
 		}
-		defer func() { err = errors.Join(err, usageLedger.Close()) }() // last: all that was taken is answered by then
+		defer func() { err = errors.Join(err, usageLedger.Close()) }() // closed last, when all accepted requests are answered
 	}
 	outputs := gateway.Outputs{Platform: discard{counters}, Peers: discard{counters}}
 	var peerExchange *peers.Peers
@@ -96,9 +98,9 @@
 		background.Go(func() { peerExchange.Run(ctx, gw) })
 	}
 	watcher := discovery.New(c.Discovery, backoff.ForDiscovery(c.Settings, c.Seed), c.Limits, clock, gw, counters, log)
-	if c.InitialHosts != nil { // the module's first event is the list, the next the platform's news
+	if c.InitialHosts != nil { // the module receives the list of hosts first, then the release's status
 		if err := watcher.Known(c.InitialHosts); err != nil {
-			log.Warn("starting without a list", zap.Error(err))
+			log.Warn("list of hosts in the configuration can't be used, starting without it", zap.Error(err))
 		}
 	}
 	var platformClient *platform.Client
@@ -108,7 +110,7 @@
 		if status, err := platform.DecodeNews(c.InitialRelease); err == nil {
 			gw.UpdateRelease(status)
 		} else {
-			log.Warn("starting without news of the newest build", zap.Error(err))
+			log.Warn("release status in the configuration can't be used, starting without it", zap.Error(err))
 		}
 		background.Go(func() { platformClient.Run(ctx) })
 	}
@@ -130,15 +132,15 @@
 	for finished := false; !finished; {
 		select {
 		case err = <-served:
-			if served = nil; terminate != nil { // without a signal
+			if served = nil; terminate != nil { // it stopped without a signal
 				err, finished = errors.Join(err, errors.New("stopped serving")), true
 			}
 		case <-printCounters:
 			counters.Log(log, "asked for")
-		case <-reload: // also while it ends: what is still sent keeps to the latest news
+		case <-reload: // also during the drain: attempts that are still sent follow the latest state of hosts and release
 			c = reloadConfig(c, watcher, platformClient, counters, log)
 		case s := <-terminate:
-			log.Info("ending", zap.String("signal", s.String()))
+			log.Info("shutting down", zap.String("signal", s.String()))
 			terminate = nil
 			go func() { drained <- clientServer.Drain() }()
 		case err = <-drained:
@@ -152,15 +154,16 @@
 	return err
 }
 
-// printer carries out planned work as an ordinary request: through the exchange and the module.
+// dispatchSender carries out dispatches (planned work) as ordinary requests, through the exchange and the decision module.
 type dispatchSender struct {
 	gateway    *gateway.Gateway
 	maxTimeout time.Duration
 }
 
-// Print sends a piece of work under its key, with the fence of this claim, and tells whether the receiver has it.
-func (p dispatchSender) Print(ctx context.Context, t statemachine.Task) bool {
-	deadline := time.Now().Add(min(p.maxTimeout, max(time.Second, 4*time.Duration(t.Plan.ExpectedDurationMs*float64(time.Millisecond)))))
+// Print sends a dispatch with its idempotency key and the fencing token of this claim. It reports whether the receiver
+// accepted it.
+func (s dispatchSender) Print(ctx context.Context, t statemachine.Task) bool {
+	deadline := time.Now().Add(min(s.maxTimeout, max(time.Second, 4*time.Duration(t.Plan.ExpectedDurationMs*float64(time.Millisecond)))))
 	if latest := time.UnixMilli(t.Plan.Latest); latest.Before(deadline) {
 		deadline = latest
 	}
@@ -172,7 +175,7 @@
 		ID: fmt.Sprintf("%s-%d", t.Dispatch, t.Fence), DedupKey: "dispatch-" + t.Dispatch, Body: []byte(t.Plan.Body)},
 		exchange.Fields{Class: t.Plan.Class, RequiredZone: t.Plan.Site}, deadline)
 	ex.DispatchID = t.Dispatch
-	if p.gateway.Submit(ex) != nil {
+	if s.gateway.Submit(ex) != nil {
 		return false
 	}
 	timeout := time.NewTimer(time.Until(deadline))
@@ -183,20 +186,21 @@
 	case <-ctx.Done():
 	}
 	if ex.Finish(exchange.Answer{Status: exchange.TimedOut}) {
-		p.gateway.Abandon(ex)
+		s.gateway.Abandon(ex)
 	}
 	a := ex.Answer()
 	defer a.Release()
 	return a.Status == exchange.Served
 }
 
-// followerOptions are the accord's, for this router.
+// followerOptions returns the options with which this router follows the replicated configuration.
 func followerOptions(a features.Accord, c config.Config) accord.Options {
 	return accord.Options{Cluster: a.Cluster, Name: c.Name, Site: c.Settings.Zone, Registrars: a.Registrars, Mode: lease.Mode(a.WithoutLease),
 		Terms: a.LeaseTerms(), Step: a.ClockStep, Clock: accord.Clock{Rate: a.ClockRate}, Seed: c.Seed, Reporting: a.Auto.MinAgreeing > 0}
 }
 
-// move goes over to the addresses that the configuration file names now. A file that can't be used changes nothing.
+// reloadConfig rereads the configuration file and switches to the addresses that it names now. A file that can't be used
+// changes nothing.
 func reloadConfig(c config.Config, watcher *discovery.Watcher, platformClient *platform.Client, counters *metrics.Registry,
 	log *zap.Logger) config.Config {
 	next, ignored, err := c.Reload()
