--- a/deploy/rehearsals/calm.jsonnet
+++ b/deploy/rehearsals/calm.jsonnet
@@ -1,4 +1,4 @@
-// A calm minute: three routers, fifteen hosts half busy, one good release.
+// Normal operation for a minute: three routers, fifteen hosts at half load, one good release.
 {
   name: 'calm',
   length: '60s',
--- a/deploy/rehearsals/herd.jsonnet
+++ b/deploy/rehearsals/herd.jsonnet
@@ -1,5 +1,5 @@
-// Most routers are killed at once while hosts pause and a bad build is on trial: clients come back together, to few
-// routers that know little.
+// Most routers are killed at once while hosts pause and a bad build is on trial. Their clients reconnect at the same time,
+// to the few remaining routers, which have little evidence.
 {
   name: 'herd',
   length: '90s',
--- a/deploy/rehearsals/minute.jsonnet
+++ b/deploy/rehearsals/minute.jsonnet
@@ -1,5 +1,5 @@
-// A bad minute that can be played live as well: a build that fails only on post-notice, a router that dies, hosts
-// that crash and pause, a host that stalls while its reports say that all is well, and a burst.
+// Several faults within a minute, also for live runs: a build that fails only on post-notice, a killed router, hosts that
+// crash and pause, a host that stalls while it reports good health, and a burst of traffic.
 {
   name: 'minute',
   length: '60s',
--- a/deploy/rehearsals/rolling-release.jsonnet
+++ b/deploy/rehearsals/rolling-release.jsonnet
@@ -1,4 +1,4 @@
-// Builds one after another, every second one bad in a way of its own, while routers are restarted in turn.
+// A sequence of builds, every second one with a different fault, while routers are restarted one after another.
 {
   name: 'rolling-release',
   length: '240s',
--- a/deploy/rehearsals/sick-hosts.jsonnet
+++ b/deploy/rehearsals/sick-hosts.jsonnet
@@ -1,6 +1,6 @@
-// One of eight places has a sick machine from the middle of a rollout on: it fails most requests, whatever it runs. The
-// build is good. Eighty routers meet each host once in some seconds: what one of them learns alone comes late, and what
-// a few hosts fail passes for the new build's doing.
+// From the middle of a rollout, one in eight places has a faulty machine that fails most requests with any build. The new
+// build is good. Each of the eighty routers sends a request to a given host only every few seconds, so it detects the
+// fault late by its own evidence, and the failures of a few hosts look like failures of the new build.
 {
   name: 'sick-hosts',
   length: '60s',
--- a/deploy/rehearsals/site-loss.jsonnet
+++ b/deploy/rehearsals/site-loss.jsonnet
@@ -1,5 +1,5 @@
-// A storm takes a site: its hosts and routers die and come back cold, in the middle of a bad build's trial; later the
-// network of another flaps three times.
+// A site fails: its hosts and routers go down and come back cold, during the trial of a bad build. Later the network of
+// another site fails three times for a short while.
 {
   name: 'site-loss',
   length: '120s',
--- a/deploy/rehearsals/slow-fleet.jsonnet
+++ b/deploy/rehearsals/slow-fleet.jsonnet
@@ -1,5 +1,6 @@
-// A build that slows all servers in step with its own traffic, met with resets, a platform that falls silent in the
-// middle of a wave, and clients that give up early: it is found late. docs/rehearsal.md has the spread over seeds.
+// A build that slows down all servers in proportion to its own traffic, together with connection resets, a platform that
+// goes silent during a wave, and clients with short timeouts. The build is detected late; docs/rehearsal.md has the
+// distribution over seeds.
 {
   name: 'slow-fleet',
   length: '45s',
--- a/deploy/rehearsals/water-cut.jsonnet
+++ b/deploy/rehearsals/water-cut.jsonnet
@@ -1,6 +1,6 @@
-// Ten minutes of a night in which the water is cut in a canton and everybody looks at the boards. Two releases, the
-// second of which fails only on post-notice; a host that stalls while its reports say that all is well; a burst; a
-// launcher that stalls in the middle of a wave; a router that dies.
+// Ten minutes of a night with a water cut in one canton, when everybody reads the notice boards: two releases, the second
+// of which fails only on post-notice; a host that stalls while it reports good health; bursts of traffic; a launcher that
+// stalls during a wave; a killed router.
 {
   name: 'water-cut',
   length: '10m',
--- a/deploy/rehearsals/wide.jsonnet
+++ b/deploy/rehearsals/wide.jsonnet
@@ -1,5 +1,5 @@
-// Full size: eighty routers, sixty hosts, and little traffic at each router; a good build and a bad one. What each
-// router sees alone is too little to judge a build by.
+// Full size: eighty routers, sixty hosts, little traffic at each router; a good build and a bad one. The evidence of a
+// single router is not enough to decide on a build.
 {
   name: 'wide',
   length: '75s',
