--- a/cmd/merlinarch/bench_test.go
+++ b/cmd/merlinarch/bench_test.go
@@ -22,8 +22,9 @@
 	"merlinarch/internal/registrar"
 )
 
-// BenchmarkRequest is a request on a kept connection: through the router, with its ledger off and on, and through a
-// bare net/http relay with the same hosts, in one run. Compare the two, not either with another day's.
+// BenchmarkRequest measures a request on a kept-alive connection: through a bare net/http relay, and through the router
+// alone, with a ledger, and with replicated rules. Compare results of one run only; those of different runs are not
+// comparable.
 func BenchmarkRequest(b *testing.B) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "notice") }))
 	defer host.Close()
@@ -69,7 +70,7 @@
 	stop()
 }
 
-// startRegistrar runs the only registrar of a cluster in this process, with the terms as they are set by default.
+// startRegistrar runs the only registrar of a cluster in this process, with the default lease terms.
 func startRegistrar(b *testing.B) (f features.Features, stop func()) {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,7 +95,8 @@
 	}
 }
 
-// startRouter serves in this process, with fifteen hosts at one address; the function it returns ends it.
+// startRouter runs a router in this process, with fifteen hosts at one address, and stores its address in listenAddr. The
+// returned function stops it.
 func startRouter(b *testing.B, addr string, f features.Features, listenAddr *string) (stop func()) {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +105,8 @@
 	}
 	listen := l.Addr().String()
 	l.Close()
-	// A connection rests for 2 ms after an answer: one host alone would be dialled anew at such rates.
+	// A connection is not reused for 2 ms after an answer; at these rates a single host would need new connections all the
+	// time.
 	var hosts []string
 	for i := range 15 {
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","block":0,"health":"up","share":1.0,
@@ -135,7 +138,7 @@
 	}
 }
 
-// runLoad asks at a URL with one client and with several.
+// runLoad sends requests to a URL with 1, 16 and 128 concurrent clients.
 func runLoad(b *testing.B, name, url string) {
 	for _, clients := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("%s/clients=%d", name, clients), func(b *testing.B) {
