--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -54,7 +54,7 @@
 	o.changesRules = true
 	c.Flags().StringVar(&o.reason, "reason", "", "why the change is made; stored with it")
 	c.Flags().StringVar(&o.author, "author", env("USER"), "who makes the change; stored with it")
-	c.Flags().BoolVar(&o.wait, "wait", false, "wait until all dispatchers have confirmed it; on timeout name those that have not")
+	c.Flags().BoolVar(&o.wait, "wait", false, "wait until the change is confirmed; on timeout name the dispatchers that are missing")
 	c.Flags().BoolVar(&o.force, "force", false, "allow it even if it exceeds the budget or closes the last server of a class")
 	c.MarkFlagRequired("reason")
 }
--- a/cmd/merlinarch/main.go
+++ b/cmd/merlinarch/main.go
@@ -79,7 +79,7 @@
 
 // register adds the flags to a command.
 func (f *configFlags) register(c *cobra.Command) {
-	c.Flags().StringVar(&f.config, "config", "", "the configuration `FILE`; the default is the value of "+config.EnvFile)
+	c.Flags().StringVar(&f.config, "config", "", "the configuration `FILE`; "+config.EnvFile+" names it if not given")
 	c.Flags().StringVar(&f.level, "log-level", "info", "debug, info, warn or error")
 	c.Flags().StringVar(&f.settings, "settings", "", "`FILE` that enables optional features; without it all of them are off")
 }
@@ -157,7 +157,7 @@
 
 // rehearseCommand delegates to the rehearsal program.
 func rehearseCommand() *cobra.Command {
-	return delegateCommand("rehearse", "Simulate or replay an incident: check, run, live, sweep, compare", toolsProgram)
+	return delegateCommand("rehearse", "Rehearse an incident: check, run, live, sweep, compare", toolsProgram)
 }
 
 // registrarCommand delegates to the registrar program.
