--- a/internal/rehearsal/hosts.go
+++ b/internal/rehearsal/hosts.go
@@ -403,7 +403,7 @@
 		return
 	}
 	h.advance()
-	work := a.Try.Wish.work * w.burden(h, a)
+	work := a.Try.Request.work * w.burden(h, a)
 	if connected {
 		work += w.s.Hosts.Handshake.Seconds()
 	}
@@ -445,7 +445,7 @@
 		h.sent = nil
 		return
 	}
-	h.sent = append(h.sent, arrival{now, a.Try.Wish.class.Work.Seconds()})
+	h.sent = append(h.sent, arrival{now, a.Try.Request.class.Work.Seconds()})
 	for h.sent[0].at < now-window {
 		h.sent = h.sent[1:]
 	}
--- a/internal/rehearsal/launcher.go
+++ b/internal/rehearsal/launcher.go
@@ -25,7 +25,7 @@
 // launcher is the release platform.
 type launcher struct {
 	w        *World
-	standing Standing
+	standing ReleaseState
 	base     int // the build to go back to
 	upAt     time.Duration
 	ready    bool // all hosts of the wave are up
@@ -45,7 +45,7 @@
 }
 
 func newLauncher(w *World) launcher {
-	return launcher{w: w, standing: Standing{Phase: logic.Released, Cap: 1, Stage: len(w.s.Launcher.Cap) - 1},
+	return launcher{w: w, standing: ReleaseState{Phase: logic.Released, Cap: 1, Stage: len(w.s.Launcher.Cap) - 1},
 		votes: map[int]vote{}, tokens: 1}
 }
 
@@ -74,7 +74,7 @@
 	l.reports = append(l.reports, BuildReport{Build: build, Fault: rel.Fault, OfferedS: (l.w.q.now - l.w.lead).Seconds(),
 		BackS: -1, Released: -1, End: "on trial"})
 	l.since = append(l.since, l.w.q.now)
-	l.enter(Standing{Build: build, Cap: l.w.s.Launcher.Cap[0]})
+	l.enter(ReleaseState{Build: build, Cap: l.w.s.Launcher.Cap[0]})
 }
 
 func (l *launcher) report() *BuildReport {
@@ -85,7 +85,7 @@
 }
 
 // enter takes a new standing, tells it, and starts the hosts that it asks for.
-func (l *launcher) enter(s Standing) {
+func (l *launcher) enter(s ReleaseState) {
 	s.Since = l.w.q.now
 	l.standing, l.ready = s, false
 	clear(l.votes)
@@ -157,8 +157,8 @@
 
 // VoteReply is how the launcher takes a vote; no reply at all comes while it is silent.
 type VoteReply struct {
-	How      logic.VoteReply
-	Standing Standing
+	Result  logic.VoteReply
+	Release ReleaseState
 }
 
 // Vote takes a router's vote; reply is called at most once, in a step of the world.
@@ -176,13 +176,13 @@
 	l.tokensAt = now
 	switch {
 	case l.tokens < 1:
-		late(VoteReply{How: logic.VoteThrottled})
+		late(VoteReply{Result: logic.VoteThrottled})
 	case !l.cast(router, build, stage, v):
 		l.tokens--
-		late(VoteReply{How: logic.VoteStale})
+		late(VoteReply{Result: logic.VoteStale})
 	default:
 		l.tokens--
-		late(VoteReply{How: logic.VoteCounted, Standing: l.standing})
+		late(VoteReply{Result: logic.VoteCounted, Release: l.standing})
 	}
 }
 
@@ -209,7 +209,7 @@
 		if v.verdict == logic.VoteRollBack {
 			r := l.report()
 			r.BackS, r.End = (now - l.since[len(l.since)-1]).Seconds(), "sent back"
-			l.enter(Standing{Build: s.Build, Stage: s.Stage, Phase: logic.RollingBack})
+			l.enter(ReleaseState{Build: s.Build, Stage: s.Stage, Phase: logic.RollingBack})
 			return
 		}
 		on = on || v.verdict == logic.VoteAdvance
@@ -218,12 +218,12 @@
 		return
 	}
 	if s.Stage+1 < len(l.w.s.Launcher.Cap) {
-		l.enter(Standing{Build: s.Build, Stage: s.Stage + 1, Cap: l.w.s.Launcher.Cap[s.Stage+1]})
+		l.enter(ReleaseState{Build: s.Build, Stage: s.Stage + 1, Cap: l.w.s.Launcher.Cap[s.Stage+1]})
 		return
 	}
 	r := l.report()
 	r.Released, r.End = (now - l.since[len(l.since)-1]).Seconds(), "released"
-	l.enter(Standing{Build: s.Build, Stage: s.Stage, Phase: logic.Released, Cap: 1})
+	l.enter(ReleaseState{Build: s.Build, Stage: s.Stage, Phase: logic.Released, Cap: 1})
 }
 
 // burden is how many times its work a request takes at a host, by what its build does.
@@ -264,7 +264,7 @@
 	hit := w.draws.Float64() < r.Size
 	switch {
 	case !hit:
-	case r.Fault == "errors", r.Fault == "class" && a.Try.Wish.class.Name == r.Class,
+	case r.Fault == "errors", r.Fault == "class" && a.Try.Request.class.Name == r.Class,
 		r.Fault == "late" && w.q.now > h.started+r.From, r.Fault == "load" && h.busy() > r.Busy:
 		return Erred
 	case r.Fault == "wrong":
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -198,7 +198,7 @@
 	}
 	var err error
 	st.relay, err = peers.Listen(listens, func(from, to int, data []byte) {
-		st.post(func() { st.w.Carry(from, to, len(data), func() { st.relay.Send(from, to, data) }) })
+		st.post(func() { st.w.CarryMessage(from, to, len(data), func() { st.relay.Send(from, to, data) }) })
 	})
 	return err
 }
@@ -249,7 +249,7 @@
 }
 
 // Boot starts a router's process; it takes requests once it says that it is ready.
-func (st *stage) Boot(i int, known []rehearsal.Entry, news rehearsal.Standing) {
+func (st *stage) Boot(i int, known []rehearsal.Entry, news rehearsal.ReleaseState) {
 	r := st.routers[i]
 	r.life++
 	life := r.life
@@ -298,7 +298,7 @@
 }
 
 // configure writes a router's configuration, as the platform would.
-func (st *stage) configure(r *router, news rehearsal.Standing) error {
+func (st *stage) configure(r *router, news rehearsal.ReleaseState) error {
 	addrs, all := st.relay.Peers()
 	list := r.list.List()
 	c := map[string]any{"name": "n" + strconv.Itoa(r.number), "listen": r.listen, "discovery": r.list.Addr(),
@@ -387,8 +387,8 @@
 	ctx, stop := context.WithCancel(st.ctx)
 	st.calls[t] = stop
 	st.tries[t.ID()] = t
-	ask := clients.Ask{ID: t.ID(), Class: t.Class(), Tenant: t.Tenant(st.w), Key: fmt.Sprintf("%016x", t.Wish.Key),
-		DedupKey: t.Dedup(), Post: t.Repeat() != "safe", Wait: t.Until - st.w.Now()}
+	ask := clients.Ask{ID: t.ID(), Class: t.Class(), Tenant: t.Tenant(st.w), Key: fmt.Sprintf("%016x", t.Request.Key),
+		DedupKey: t.DedupKey(), Post: t.Repeat() != "safe", Wait: t.Until - st.w.Now()}
 	ready := r.ready
 	st.work.Go(func() {
 		a, err := st.callers.Do(ctx, r.listen, ask)
@@ -397,9 +397,9 @@
 			delete(st.calls, t)
 			switch {
 			case err != nil && (errors.Is(err, clients.ErrRefused) || !ready):
-				st.w.Untaken(t)
+				st.w.ConnectFailed(t)
 			case err != nil:
-				st.w.Dropped(t)
+				st.w.ConnectionDropped(t)
 			default:
 				st.w.Answered(t, answer(t, a))
 			}
@@ -411,7 +411,7 @@
 func answer(t *rehearsal.Try, a clients.Answer) rehearsal.Answer {
 	switch a.Status {
 	case 200:
-		return rehearsal.Answer{Status: rehearsal.Served, Strange: string(a.Body) != body(t.ID())}
+		return rehearsal.Answer{Status: rehearsal.Served, Mismatched: string(a.Body) != body(t.ID())}
 	case 429, 503:
 		return rehearsal.Answer{Status: rehearsal.Refused, RetryAfter: a.RetryAfter}
 	}
@@ -421,7 +421,7 @@
 func body(id string) string { return "notice for " + id }
 
 // Left closes the client's connection.
-func (st *stage) Left(t *rehearsal.Try) {
+func (st *stage) ClientGone(t *rehearsal.Try) {
 	if stop := st.calls[t]; stop != nil {
 		stop()
 	}
@@ -434,16 +434,18 @@
 	}
 }
 
-func (st *stage) state(s rehearsal.Standing) platform.State {
+func (st *stage) state(s rehearsal.ReleaseState) platform.State {
 	return platform.State{Build: s.Build + 1, Stage: s.Stage, Phase: phases[s.Phase], Cap: s.Cap,
 		Age: max(0, st.w.Now()-s.Since)}
 }
 
 // News tells a router through its platform.
-func (st *stage) News(i int, s rehearsal.Standing) { st.routers[i].desk.Tell(st.state(s)) }
+func (st *stage) ReleaseChanged(i int, s rehearsal.ReleaseState) {
+	st.routers[i].desk.Tell(st.state(s))
+}
 
 // Silence lets the platform stand still.
-func (st *stage) Silence(on bool) {
+func (st *stage) SilenceLauncher(on bool) {
 	for _, r := range st.routers {
 		r.desk.Silence(on)
 	}
@@ -457,12 +459,12 @@
 	}
 	life := r.life
 	st.w.Vote(r.number, v.Build-1, v.Stage, verdict, func(a rehearsal.VoteReply) {
-		switch a.How {
+		switch a.Result {
 		case logic.VoteCounted:
 			if r.life == life {
-				st.w.Heard(r.number, a.Standing)
+				st.w.RecordRelease(r.number, a.Release)
 			}
-			reply(platform.OK(st.state(a.Standing)))
+			reply(platform.OK(st.state(a.Release)))
 		case logic.VoteThrottled:
 			reply(platform.Error("BUSY"))
 		default:
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -31,32 +31,32 @@
 
 // Report is what a rehearsal came to. All figures are emulated, or emulated hosts on live loopback.
 type Report struct {
-	Script   string         `json:"script"`
-	Live     bool           `json:"live"`
-	Seed     uint64         `json:"seed"`
-	Routers  int            `json:"routers"`
-	Hosts    int            `json:"hosts"`
-	Policy   string         `json:"policy"`
-	Service  float64        `json:"service"` // 0 to 1, of the parts below
-	Whole    float64        `json:"service_whole"`
-	Worst    float64        `json:"service_worst_window"`
-	Outcomes string         `json:"outcomes_sha256"` // over every try's id, answer and time
-	Requests int            `json:"requests"`
-	Ends     map[string]int `json:"ends"` // of requests
-	Events   uint64         `json:"events"`
-	VirtualS float64        `json:"virtual_s"`
-	Rules    Rules          `json:"rules"`
-	Broken   []string       `json:"broken,omitempty"` // the first that were seen
-	Attempts int            `json:"attempts"`
-	TurnedBy int            `json:"turned_away"`
-	Messages int            `json:"messages"`      // between routers, by receiver
-	Bytes    int            `json:"message_bytes"` // of them
-	Waste    float64        `json:"waste"`         // part of the hosts' work that went into answers nobody got
-	Classes  []Part         `json:"classes"`
-	Tenants  []Part         `json:"tenants"`
-	Windows  []Window       `json:"windows"`
-	Builds   []BuildReport  `json:"builds"`
-	Marks    []Mark         `json:"marks"`
+	Script     string         `json:"script"`
+	Live       bool           `json:"live"`
+	Seed       uint64         `json:"seed"`
+	Routers    int            `json:"routers"`
+	Hosts      int            `json:"hosts"`
+	Policy     string         `json:"policy"`
+	Service    float64        `json:"service"` // 0 to 1, of the parts below
+	Whole      float64        `json:"service_whole"`
+	Worst      float64        `json:"service_worst_window"`
+	Outcomes   string         `json:"outcomes_sha256"` // over every try's id, answer and time
+	Requests   int            `json:"requests"`
+	Ends       map[string]int `json:"ends"` // of requests
+	Events     uint64         `json:"events"`
+	VirtualS   float64        `json:"virtual_s"`
+	Rules      Rules          `json:"rules"`
+	Broken     []string       `json:"broken,omitempty"` // the first that were seen
+	Attempts   int            `json:"attempts"`
+	TurnedAway int            `json:"turned_away"`
+	Messages   int            `json:"messages"`      // between routers, by receiver
+	Bytes      int            `json:"message_bytes"` // of them
+	Waste      float64        `json:"waste"`         // part of the hosts' work that went into answers nobody got
+	Classes    []Part         `json:"classes"`
+	Tenants    []Part         `json:"tenants"`
+	Windows    []Window       `json:"windows"`
+	Builds     []BuildReport  `json:"builds"`
+	Marks      []Mark         `json:"marks"`
 }
 
 // Part is the service of one class or tenant, and its answers' times.
@@ -136,7 +136,7 @@
 }
 
 // ended counts a wish that is over.
-func (t *tally) ended(q *Wish, s Status, now time.Duration) {
+func (t *tally) ended(q *ClientRequest, s Status, now time.Duration) {
 	t.ends[s]++
 	win := &t.windows[q.window]
 	switch s {
@@ -212,7 +212,7 @@
 	r := Report{Script: w.s.Name, Live: w.referee.slack > 0, Seed: w.s.Seed, Routers: w.s.Routers.Count,
 		Hosts: w.s.Hosts.Count, Policy: w.s.Routers.Policy, Requests: w.wishes, Events: w.q.done,
 		VirtualS: w.q.now.Seconds(), Rules: w.referee.rules, Broken: w.referee.first, Attempts: w.attempts,
-		TurnedBy: w.rejected, Messages: w.messages, Bytes: w.messageBytes, Builds: w.reports, Marks: w.troubled,
+		TurnedAway: w.rejected, Messages: w.messages, Bytes: w.messageBytes, Builds: w.reports, Marks: w.troubled,
 		Outcomes: hex.EncodeToString(w.digest.Sum(nil)), Ends: map[string]int{}}
 	if w.worked > 0 {
 		r.Waste = w.wasted / w.worked
@@ -309,7 +309,7 @@
 	}
 	if r.Requests > 0 {
 		out = append(out, fmt.Sprintf("attempts %d, turned away %d, waste %.3f of the work; %.1f messages and %.0f bytes between routers a request",
-			r.Attempts, r.TurnedBy, r.Waste, float64(r.Messages)/float64(r.Requests), float64(r.Bytes)/float64(r.Requests)))
+			r.Attempts, r.TurnedAway, r.Waste, float64(r.Messages)/float64(r.Requests), float64(r.Bytes)/float64(r.Requests)))
 	}
 	for _, c := range r.Classes {
 		out = append(out, fmt.Sprintf("  %s: %d asked, service %v, p50 %.0f ms, p99 %.0f ms", c.Name, c.Asked,
--- a/internal/rehearsal/troubles.go
+++ b/internal/rehearsal/troubles.go
@@ -113,8 +113,8 @@
 		}
 	case "launcher_silent":
 		w.silent = true
-		w.front.Silence(true)
-		end(func() { w.silent = false; w.front.Silence(false); w.informAll() })
+		w.front.SilenceLauncher(true)
+		end(func() { w.silent = false; w.front.SilenceLauncher(false); w.informAll() })
 	case "launcher_late":
 		late := time.Duration(t.Size * 1e9)
 		w.newsLate += late
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -21,7 +21,7 @@
 }
 
 // Standing is what the launcher tells of the newest build.
-type Standing struct {
+type ReleaseState struct {
 	Build, Stage int
 	Phase        logic.Phase
 	Cap          float64
@@ -29,18 +29,18 @@
 }
 
 // Front is the routers as the world reaches them. All calls come from the world's own steps.
-type Front interface {
+type RouterFleet interface {
 	// Boot starts a router with the list and the standing as last told to it.
-	Boot(router int, known []Entry, news Standing)
+	Boot(router int, known []Entry, news ReleaseState)
 	Kill(router int)
 	Freeze(router int, length time.Duration)
 	// Take brings a client's try; Answered is owed. Left tells that its client has given up.
 	Take(t *Try)
-	Left(t *Try)
+	ClientGone(t *Try)
 	Listed(router int, changes []Entry)
-	News(router int, s Standing)
+	ReleaseChanged(router int, s ReleaseState)
 	// Silence lets the launcher stand still towards all routers, or go on.
-	Silence(on bool)
+	SilenceLauncher(on bool)
 	// HostUp and HostDown tell that a host listens, or does not any more; silent: it is gone without a word.
 	HostUp(h *Host)
 	HostDown(h *Host, silent bool)
@@ -50,7 +50,7 @@
 type World struct {
 	q       queue
 	s       script.Script
-	front   Front
+	front   RouterFleet
 	referee *Referee
 
 	draws  *rand.Rand // hosts, launcher, network: in the order of events
@@ -79,7 +79,7 @@
 	life    int
 	noticed time.Duration // since when the front leaves a dead router out; 0: it does not
 	known   map[int]Entry // as last told, by host
-	news    Standing
+	news    ReleaseState
 	toldAt  time.Duration // changes are told in order
 	newsAt  time.Duration
 	batch   *batch // what discovery gathers for its next push
@@ -112,7 +112,7 @@
 }
 
 // Start begins: the first hosts run and are warm, the routers boot, requests come after lead.
-func (w *World) Start(front Front, lead time.Duration) {
+func (w *World) Start(front RouterFleet, lead time.Duration) {
 	w.front, w.lead = front, lead
 	for i := range w.s.Hosts.Count {
 		p := &place{index: i, site: w.s.Sites[i%len(w.s.Sites)]}
@@ -271,19 +271,19 @@
 	})
 }
 
-func (w *World) tellNews(i int, s Standing) {
-	w.Heard(i, s)
-	w.front.News(i, s)
+func (w *World) tellNews(i int, s ReleaseState) {
+	w.RecordRelease(i, s)
+	w.front.ReleaseChanged(i, s)
 }
 
 // Heard notes that a router was told the standing in reply to its vote.
-func (w *World) Heard(i int, s Standing) {
+func (w *World) RecordRelease(i int, s ReleaseState) {
 	w.routers[i].news = s
 	w.referee.news(i, s)
 }
 
 // Carry brings a message of so many bytes from a router to another: late, or not at all.
-func (w *World) Carry(from, to, size int, arrive func()) {
+func (w *World) CarryMessage(from, to, size int, arrive func()) {
 	w.messages, w.messageBytes = w.messages+1, w.messageBytes+size
 	if w.apart(w.routers[from].site, w.routers[to].site) || w.draws.Float64() < w.s.Network.MessageLoss {
 		return
