--- a/internal/rehearsal/queue.go
+++ b/internal/rehearsal/queue.go
@@ -14,10 +14,10 @@
 
 // queue is all that will happen, by time. It implements heap.Interface.
 type queue struct {
-	list []event
-	now  time.Duration
-	sets uint64
-	done uint64 // events that have happened
+	list           []event
+	now            time.Duration
+	scheduledCount uint64
+	processedCount uint64 // events that have happened
 }
 
 func (q *queue) Len() int { return len(q.list) }
@@ -31,8 +31,8 @@
 
 // at asks for something at a time, or now if that is over.
 func (q *queue) at(t time.Duration, do func()) {
-	q.sets++
-	q.list = append(q.list, event{max(t, q.now), q.sets, do})
+	q.scheduledCount++
+	q.list = append(q.list, event{max(t, q.now), q.scheduledCount, do})
 	heap.Push(q, nil)
 }
 
@@ -55,6 +55,6 @@
 	q.list[last].do = nil
 	q.list = q.list[:last]
 	q.now = e.at
-	q.done++
+	q.processedCount++
 	e.do()
 }
--- a/internal/rehearsal/sweep.go
+++ b/internal/rehearsal/sweep.go
@@ -50,7 +50,7 @@
 	Outcomes string  `json:"outcomes_sha256"`
 }
 
-func spread(v []float64) Spread {
+func newSpread(v []float64) Spread {
 	slices.Sort(v)
 	q := func(p float64) float64 { return stat.Quantile(p, stat.Empirical, v, nil) }
 	return Spread{Mean: stat.Mean(v, nil), Least: v[0], P10: q(0.1), Median: q(0.5), P90: q(0.9), Most: v[len(v)-1]}
@@ -78,7 +78,7 @@
 				if err != nil {
 					return fmt.Errorf("%s=%s, seed %d: %w", path, value, seed, err)
 				}
-				p.Plays[j] = play(r)
+				p.Plays[j] = newPlay(r)
 				mu.Lock()
 				defer mu.Unlock()
 				if played != nil {
@@ -92,12 +92,12 @@
 		return out, err
 	}
 	for i := range out.Points {
-		out.Points[i].sum()
+		out.Points[i].summarize()
 	}
 	return out, nil
 }
 
-func play(r Report) Play {
+func newPlay(r Report) Play {
 	p := Play{Seed: r.Seed, Service: r.Service, Worst: r.Worst, BackS: -1, Rules: r.Rules, Outcomes: r.Outcomes}
 	for _, b := range r.Builds {
 		if b.Fault != "" {
@@ -108,7 +108,7 @@
 	return p
 }
 
-func (p *Point) sum() {
+func (p *Point) summarize() {
 	var service, worst, back []float64
 	for _, x := range p.Plays {
 		service, worst = append(service, x.Service), append(worst, x.Worst)
@@ -117,9 +117,9 @@
 		}
 		p.Rules.add(x.Rules)
 	}
-	p.Service, p.Worst, p.Back = spread(service), spread(worst), len(back)
+	p.Service, p.Worst, p.Back = newSpread(service), newSpread(worst), len(back)
 	if len(back) > 0 {
-		s := spread(back)
+		s := newSpread(back)
 		p.BackS = &s
 	}
 }
