--- a/internal/rehearsal/troubles.go
+++ b/internal/rehearsal/troubles.go
@@ -74,7 +74,7 @@
 
 // strike lets a trouble begin, and plans its end.
 func (w *World) startTrouble(t script.Trouble) {
-	end := func(do func()) { w.queue.after(t.For, do) }
+	atEnd := func(do func()) { w.queue.after(t.For, do) }
 	switch t.Kind {
 	case "pause":
 		each := t.Each
@@ -91,7 +91,7 @@
 		for _, h := range w.drawHosts(t) {
 			p, was := h.place, h.place.errorRate
 			p.errorRate = t.Size
-			end(func() { p.errorRate = was })
+			atEnd(func() { p.errorRate = was })
 		}
 	case "stall":
 		w.alterHosts(w.drawHosts(t), t.For, func(h *Host) { h.stalled = true }, func(h *Host) { h.stalled = false })
@@ -103,7 +103,7 @@
 		for _, h := range w.drawHosts(t) {
 			p := h.place
 			w.drain(h)
-			end(func() {
+			atEnd(func() {
 				if p.host == h && p.successor == nil {
 					w.stop(h, false)
 					p.host = nil
@@ -114,14 +114,14 @@
 	case "launcher_silent":
 		w.launcherSilent = true
 		w.routerFleet.SilenceLauncher(true)
-		end(func() { w.launcherSilent = false; w.routerFleet.SilenceLauncher(false); w.announceRelease() })
+		atEnd(func() { w.launcherSilent = false; w.routerFleet.SilenceLauncher(false); w.announceRelease() })
 	case "launcher_late":
 		late := time.Duration(t.Size * 1e9)
 		w.addedReleaseDelay += late
-		end(func() { w.addedReleaseDelay -= late })
+		atEnd(func() { w.addedReleaseDelay -= late })
 	case "discovery_silent":
 		w.discoverySilent = true
-		end(func() { w.discoverySilent = false })
+		atEnd(func() { w.discoverySilent = false })
 	case "router_kill":
 		for _, i := range w.drawRouters(t) {
 			w.restartRouter(i, t.For)
@@ -137,13 +137,13 @@
 		b := burst{t.Size, slices.IndexFunc(w.script.Classes, func(c script.Class) bool { return c.Name == t.Class }),
 			slices.IndexFunc(w.script.Tenants, func(x script.Tenant) bool { return x.Name == t.Tenant })}
 		w.bursts = append(w.bursts, b)
-		end(func() { w.bursts = slices.Delete(w.bursts, slices.Index(w.bursts, b), slices.Index(w.bursts, b)+1) })
+		atEnd(func() { w.bursts = slices.Delete(w.bursts, slices.Index(w.bursts, b), slices.Index(w.bursts, b)+1) })
 	case "hot_key":
 		w.hotKeyShare += t.Size
-		end(func() { w.hotKeyShare -= t.Size })
+		atEnd(func() { w.hotKeyShare -= t.Size })
 	case "site_cut":
 		w.cutSites[t.Site] = true
-		end(func() { delete(w.cutSites, t.Site); w.announceRelease() })
+		atEnd(func() { delete(w.cutSites, t.Site); w.announceRelease() })
 	case "site_loss":
 		for _, h := range w.drawHosts(script.Trouble{Site: t.Site, Share: 1}) {
 			w.crash(h, false, t.For)
@@ -154,12 +154,12 @@
 			}
 		}
 	case "link_slow":
-		more := time.Duration(t.Size * 1e9)
-		w.addedLinkDelay += more
-		end(func() { w.addedLinkDelay -= more })
+		added := time.Duration(t.Size * 1e9)
+		w.addedLinkDelay += added
+		atEnd(func() { w.addedLinkDelay -= added })
 	case "link_loss":
 		w.linkLossRate += t.Size
-		end(func() { w.linkLossRate -= t.Size })
+		atEnd(func() { w.linkLossRate -= t.Size })
 	}
 }
 
