--- a/internal/rehearsal/sweep.go
+++ b/internal/rehearsal/sweep.go
@@ -12,25 +12,25 @@
 	"merlinarch/internal/rehearsal/script"
 )
 
-// Sweep is what a script came to with several values at one path, over several seeds.
+// Sweep is the result of playing a script with several values of one setting, each with several seeds.
 type Sweep struct {
 	Script string  `json:"script"`
 	Path   string  `json:"path"`
 	Points []Point `json:"points"`
 }
 
-// Point is one value.
+// Point is the result for one value.
 type Point struct {
 	Value   string  `json:"value"`
 	Service Spread  `json:"service"`
 	Worst   Spread  `json:"worst_window"`
-	BackS   *Spread `json:"back_s,omitempty"` // of the first faulty build, where it was sent back
-	Back    int     `json:"sent_back"`        // in how many plays it was
-	Rules   Rules   `json:"rules"`            // broken in all plays
+	BackS   *Spread `json:"back_s,omitempty"` // of the first faulty build, over the plays in which it was rolled back
+	Back    int     `json:"sent_back"`        // number of those plays
+	Rules   Rules   `json:"rules"`            // violations summed over all plays
 	Plays   []Play  `json:"plays"`
 }
 
-// Spread is a distribution over plays.
+// Spread summarizes the distribution of a figure over plays.
 type Spread struct {
 	Mean   float64 `json:"mean"`
 	Least  float64 `json:"least"`
@@ -40,24 +40,26 @@
 	Most   float64 `json:"most"`
 }
 
-// Play is one rehearsal of a sweep.
+// Play is the result of one rehearsal of a sweep.
 type Play struct {
 	Seed     uint64  `json:"seed"`
 	Service  float64 `json:"service"`
 	Worst    float64 `json:"worst_window"`
-	BackS    float64 `json:"back_s"` // from the offer of the first faulty build until it is sent back; -1: never
+	BackS    float64 `json:"back_s"` // from the offer of the first faulty build until it is rolled back; -1 if it is not
 	Rules    Rules   `json:"rules"`
 	Outcomes string  `json:"outcomes_sha256"`
 }
 
+// newSpread computes the spread of values, which it sorts.
 func newSpread(v []float64) Spread {
 	slices.Sort(v)
 	q := func(p float64) float64 { return stat.Quantile(p, stat.Empirical, v, nil) }
 	return Spread{Mean: stat.Mean(v, nil), Least: v[0], P10: q(0.1), Median: q(0.5), P90: q(0.9), Most: v[len(v)-1]}
 }
 
-// RunSweep plays a script once for each value and seed, as many at a time as there are processors. What it comes to
-// does not depend on how many.
+// RunSweep plays a script once for each value and seed, as many at a time as there are processors. Its result does not
+// depend on their number. load returns the script with some settings replaced; onPlayed, if not nil, is called after
+// each play.
 func RunSweep(load func(sets map[string]any) (script.Script, error), path string, values []string, seeds []uint64,
 	onPlayed func()) (Sweep, error) {
 	out := Sweep{Path: path, Points: make([]Point, len(values))}
@@ -97,6 +99,7 @@
 	return out, nil
 }
 
+// newPlay returns the figures of a report that a sweep keeps.
 func newPlay(r Report) Play {
 	p := Play{Seed: r.Seed, Service: r.Service, Worst: r.Worst, BackS: -1, Rules: r.Rules, Outcomes: r.Outcomes}
 	for _, b := range r.Builds {
@@ -108,6 +111,7 @@
 	return p
 }
 
+// summarize fills in a point's figures from its plays.
 func (p *Point) summarize() {
 	var service, worst, back []float64
 	for _, x := range p.Plays {
@@ -124,6 +128,7 @@
 	}
 }
 
+// add adds the violations of another play.
 func (r *Rules) add(x Rules) {
 	r.Lost, r.Doubled, r.LateToDrained = r.Lost+x.Lost, r.Doubled+x.Doubled, r.LateToDrained+x.LateToDrained
 	r.PushedOver, r.OverCap = r.PushedOver+x.PushedOver, r.OverCap+x.OverCap
