--- a/internal/rehearsal/launcher.go
+++ b/internal/rehearsal/launcher.go
@@ -168,8 +168,8 @@
 	Release ReleaseState
 }
 
-// Vote takes a router's vote. It calls reply at most once, in a step of the world. A silent launcher records a vote with
-// probability 0.5 but does not reply.
+// Vote takes a router's vote. It calls reply at most once, in a step of the world. A silent launcher records a vote
+// with probability 0.5 but does not reply.
 func (l *launcher) Vote(router, build, stage int, v logic.Verdict, reply func(VoteReply)) {
 	replyLater := func(r VoteReply) { l.w.queue.after(l.w.drawBetween(l.w.script.Launcher.Call), func() { reply(r) }) }
 	if l.launcherSilent {
@@ -194,7 +194,7 @@
 	}
 }
 
-// recordVote records a vote, unless it is about a build or a stage that is no longer current, and reports whether it did.
+// recordVote records a vote, unless its build or stage is no longer current, and reports whether it did.
 func (l *launcher) recordVote(router, build, stage int, v logic.Verdict) bool {
 	s := l.release
 	if build != s.Build || stage != s.Stage || s.Phase != logic.OnTrial && (s.Phase != logic.Released || s.Build == 0) {
@@ -235,8 +235,8 @@
 	l.setRelease(ReleaseState{Build: s.Build, Stage: s.Stage, Phase: logic.Released, Cap: 1})
 }
 
-// workFactor returns the factor by which the host's build, and builds that slow their neighbours, multiply the work of a
-// request.
+// workFactor returns the factor by which the host's build, and builds that slow their neighbours, multiply the work
+// of a request.
 func (w *World) workFactor(h *Host, a *Attempt) float64 {
 	factor, now := 1.0, w.queue.now
 	slowdown := 0.0
--- a/internal/rehearsal/referee.go
+++ b/internal/rehearsal/referee.go
@@ -9,11 +9,11 @@
 
 // Rules counts how often each of the five rules was broken.
 type Rules struct {
-	Lost          int `json:"lost"`            // no answer in time although the router ran, two answers, or another request's answer
+	Lost          int `json:"lost"`            // no answer in time from a running router, two answers, or another's answer
 	Doubled       int `json:"doubled"`         // two attempts at once, or a retry or a refusal that the class forbids
 	LateToDrained int `json:"late_to_drained"` // attempts sent to a draining or ended host after the grace
 	PushedOver    int `json:"pushed_over"`     // cold hosts that failed under too much load
-	OverCap       int `json:"over_cap"`        // attempts at an unreleased build beyond the cap, or of a class closed to it
+	OverCap       int `json:"over_cap"`        // attempts at an unreleased build beyond its cap, or of a closed class
 }
 
 // Broken returns the total number of violations.
@@ -219,8 +219,8 @@
 	f.checkExposure(a, v)
 }
 
-// checkOverlap records a violation if the earlier attempt has not ended. On sockets the end of one attempt and the start
-// of the next arrive on two connections in any order, so a live one is given the slack to end.
+// checkOverlap records a violation if the earlier attempt has not ended. On sockets the end of one attempt and the
+// start of the next arrive on two connections in any order, so a live one is given the slack to end.
 func (f *Referee) checkOverlap(a, earlier *Attempt) {
 	check := func() {
 		if !earlier.ended {
--- a/internal/rehearsal/troubles.go
+++ b/internal/rehearsal/troubles.go
@@ -7,7 +7,7 @@
 	"merlinarch/internal/rehearsal/script"
 )
 
-// plan puts the script's troubles on the time line.
+// scheduleTroubles schedules the script's troubles, and the report's windows.
 func (w *World) scheduleTroubles(lead time.Duration) {
 	w.scheduleWindows(lead)
 	for _, t := range w.script.Troubles {
@@ -20,9 +20,10 @@
 	}
 }
 
+// scheduleWindows schedules the first window to begin after lead.
 func (w *World) scheduleWindows(lead time.Duration) { w.queue.at(lead, w.closeWindows) }
 
-// hit draws the hosts that a trouble strikes.
+// drawHosts draws the hosts that a trouble affects.
 func (w *World) drawHosts(t script.Trouble) []*Host {
 	list := slices.DeleteFunc(w.hostsInOrder(), func(h *Host) bool {
 		return t.Site != "" && h.Site != t.Site || t.Build != nil && h.Build != *t.Build
@@ -30,7 +31,7 @@
 	return drawShare(w, list, t.Share)
 }
 
-// some draws a share of a list, at least one; the order of the rest stays.
+// drawShare draws a share of a list, at least one element, and keeps the order.
 func drawShare[T any](w *World, list []T, share float64) []T {
 	if share >= 1 || len(list) == 0 {
 		return list
@@ -45,6 +46,7 @@
 	return out
 }
 
+// drawRouters draws the routers that a trouble affects.
 func (w *World) drawRouters(t script.Trouble) []int {
 	var list []int
 	for i, r := range w.routers {
@@ -55,7 +57,8 @@
 	return drawShare(w, list, t.Share)
 }
 
-// change alters how fast hosts work, for a while.
+// alterHosts calls begin for hosts now and end, if not nil, after length. Their work is brought up to date before each
+// change of speed.
 func (w *World) alterHosts(hosts []*Host, length time.Duration, begin, end func(*Host)) {
 	set := func(h *Host, f func(*Host)) {
 		if h.phase != ended {
@@ -72,7 +75,7 @@
 	}
 }
 
-// strike lets a trouble begin, and plans its end.
+// startTrouble starts a trouble and schedules its end.
 func (w *World) startTrouble(t script.Trouble) {
 	atEnd := func(do func()) { w.queue.after(t.For, do) }
 	switch t.Kind {
@@ -163,7 +166,7 @@
 	}
 }
 
-// restart kills a router and boots it after a while.
+// restartRouter kills a router and boots it after the time away.
 func (w *World) restartRouter(i int, away time.Duration) {
 	if !w.routers[i].up {
 		return
@@ -176,7 +179,8 @@
 	})
 }
 
-// pause lets a host stand still, again and again with as long between, until a time.
+// pauseRepeatedly pauses a host again and again until a time. It works for one to two times the length of a pause
+// between them.
 func (w *World) pauseRepeatedly(h *Host, each, until time.Duration) {
 	if w.queue.now >= until || h.phase == ended {
 		return
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -30,7 +30,7 @@
 	Since        time.Duration // when this state began
 }
 
-// RouterFleet is the interface through which the world drives the routers. The world makes all calls from its own steps.
+// RouterFleet is the interface through which the world drives the routers. All calls come from the world's own steps.
 type RouterFleet interface {
 	// Boot starts a router with the hosts and the release state that it last received.
 	Boot(router int, known []Entry, release ReleaseState)
@@ -73,7 +73,7 @@
 	addedLinkDelay         time.Duration
 	linkLossRate           float64
 	discoverySilent        bool
-	neighbourHarm          float64 // moving average of the slowdown (at most 1) that builds with the fault "neighbours" cause
+	neighbourHarm          float64 // moving average of the slowdown, at most 1, by the fault "neighbours"
 	workDone, workWasted   float64 // seconds of hosts' work: in total, and for answers that no client got
 	attempts, rejected     int
 	messages, messageBytes int // between routers; a message to several counts once for each receiver
