--- a/internal/rehearsal/bench_test.go
+++ b/internal/rehearsal/bench_test.go
@@ -10,7 +10,7 @@
 	"merlinarch/logic"
 )
 
-// timed tells what the module itself takes.
+// timedModule measures the wall time and the calls of the wrapped module.
 type timedModule struct {
 	driver.Module
 	spent *time.Duration
@@ -25,8 +25,8 @@
 	return out
 }
 
-// BenchmarkRehearsal plays whole rehearsals: events a second, what an event costs in the world and what in the
-// module, and the memory held at the end. The large ones take long; CI runs none of them.
+// BenchmarkRehearsal plays whole rehearsals. It reports events per second, the time of an event in the world and in the
+// module, and the heap at the end. The large ones take long, and CI runs none of them.
 func BenchmarkRehearsal(b *testing.B) {
 	for _, c := range []struct {
 		name string
--- a/internal/rehearsal/nodes.go
+++ b/internal/rehearsal/nodes.go
@@ -101,7 +101,8 @@
 		MaxAttempts: s.Routers.MaxAttempts, MaxRetryAfter: s.Routers.RetryAfter, CanPost: s.Routers.Peers,
 		CanCancel: s.Routers.Cancel, ClockResolution: 5 * time.Millisecond, DrainGrace: h.DrainGrace,
 		ConnIdleTimeout: s.Network.ConnIdle, ColdCapacity: h.ColdFrom, WarmUpTime: h.ColdTime,
-		OverloadMultiple: h.FallMultiple, OverloadTime: h.FallTime, CrossZoneCost: s.Routers.CrossCost, OverShareWorth: s.Routers.OverShare,
+		OverloadMultiple: h.FallMultiple, OverloadTime: h.FallTime, CrossZoneCost: s.Routers.CrossCost,
+		OverShareWorth: s.Routers.OverShare,
 		Rollout: logic.Rollout{StageShare: l.Share, StageCap: l.Cap, ExposureWindow: l.Window, FreeAttempts: float64(l.Free),
 			BudgetPerClass: l.PerClass, ClosedStages: l.Closed, RollingUpdate: true, MinStageTime: l.Bake, VoteTTL: l.VoteLife,
 			VoteTimeout: l.CallTimeout, VotesPerSec: l.VotesPerSec}}
