--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -217,7 +217,8 @@
 		Routers: w.script.Routers.Count, Hosts: w.script.Hosts.Count, Policy: w.script.Routers.Policy,
 		Requests: w.requestCount, Events: w.queue.processedCount, VirtualS: w.queue.now.Seconds(), Rules: w.referee.rules,
 		Broken: w.referee.firstViolations, Attempts: w.attempts, TurnedAway: w.rejected,
-		Messages: w.messages, Bytes: w.messageBytes, Builds: w.buildReports, Marks: w.marks, Outcomes: hex.EncodeToString(w.digest.Sum(nil)), Ends: map[string]int{}}
+		Messages: w.messages, Bytes: w.messageBytes, Builds: w.buildReports, Marks: w.marks,
+		Outcomes: hex.EncodeToString(w.digest.Sum(nil)), Ends: map[string]int{}}
 	if w.workDone > 0 {
 		r.Waste = w.workWasted / w.workDone
 	}
