--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -387,7 +387,7 @@
 	ctx, stop := context.WithCancel(st.ctx)
 	st.calls[t] = stop
 	st.tries[t.ID()] = t
-	ask := clients.Ask{ID: t.ID(), Class: t.Class(), Tenant: t.Tenant(st.w), Key: fmt.Sprintf("%016x", t.Wish.Key),
+	ask := clients.Request{ID: t.ID(), Class: t.Class(), Tenant: t.Tenant(st.w), Key: fmt.Sprintf("%016x", t.Wish.Key),
 		DedupKey: t.Dedup(), Post: t.Repeat() != "safe", Wait: t.Until - st.w.Now()}
 	ready := r.ready
 	st.work.Go(func() {
@@ -440,12 +440,12 @@
 }
 
 // News tells a router through its platform.
-func (st *stage) News(i int, s rehearsal.Standing) { st.routers[i].desk.Tell(st.state(s)) }
+func (st *stage) News(i int, s rehearsal.Standing) { st.routers[i].desk.Announce(st.state(s)) }
 
 // Silence lets the platform stand still.
 func (st *stage) Silence(on bool) {
 	for _, r := range st.routers {
-		r.desk.Silence(on)
+		r.desk.SetSilent(on)
 	}
 }
 
@@ -504,7 +504,7 @@
 }
 
 var kinds = map[rehearsal.Reply]hosts.Kind{rehearsal.Good: hosts.Served, rehearsal.Wrong: hosts.Served,
-	rehearsal.Erred: hosts.Erred, rehearsal.TurnedAway: hosts.TurnedAway, rehearsal.Broken: hosts.Broken}
+	rehearsal.Erred: hosts.ServerError, rehearsal.TurnedAway: hosts.TurnedAway, rehearsal.Broken: hosts.ConnectionReset}
 
 // serve brings an attempt to its host in the world, and waits for its reply there.
 func (st *stage) serve(ctx context.Context, from int, h *rehearsal.Host, q hosts.Request) hosts.Reply {
@@ -537,5 +537,5 @@
 		})
 	case <-st.ctx.Done():
 	}
-	return hosts.Reply{Kind: hosts.Broken}
+	return hosts.Reply{Kind: hosts.ConnectionReset}
 }
--- a/internal/rehearsal/script/check.go
+++ b/internal/rehearsal/script/check.go
@@ -257,7 +257,7 @@
 }
 
 // Value reads what a sweep sets: a number where the text is one, else the text.
-func Value(text string) any {
+func ParseValue(text string) any {
 	if f, err := strconv.ParseFloat(text, 64); err == nil && !math.IsNaN(f) && !math.IsInf(f, 0) {
 		return f
 	}
--- a/internal/rehearsal/sweep.go
+++ b/internal/rehearsal/sweep.go
@@ -68,7 +68,7 @@
 		p := &out.Points[i]
 		p.Value, p.Plays = value, make([]Play, len(seeds))
 		for j, seed := range seeds {
-			s, err := load(map[string]any{path: script.Value(value)})
+			s, err := load(map[string]any{path: script.ParseValue(value)})
 			if err != nil {
 				return out, err
 			}
--- a/internal/standin/clients/clients.go
+++ b/internal/standin/clients/clients.go
@@ -15,7 +15,7 @@
 )
 
 // Ask is one request.
-type Ask struct {
+type Request struct {
 	ID, Class, Tenant, Key, DedupKey string
 	Post                             bool
 	Wait                             time.Duration // how long the client waits for the answer
@@ -60,7 +60,7 @@
 }
 
 // Do asks a router at an address. When ctx ends, the client closes its connection.
-func (p *Pool) Do(ctx context.Context, addr string, a Ask) (Answer, error) {
+func (p *Pool) Do(ctx context.Context, addr string, a Request) (Answer, error) {
 	method, body := http.MethodGet, io.Reader(nil)
 	if a.Post {
 		method, body = http.MethodPost, strings.NewReader("notice "+a.ID)
--- a/internal/standin/hosts/hosts.go
+++ b/internal/standin/hosts/hosts.go
@@ -19,11 +19,11 @@
 
 // Kinds of replies.
 const (
-	Served     Kind = iota // 200
-	Erred                  // 500: it may have run
-	TurnedAway             // 503 that says so: it has not run
-	Broken                 // the connection is reset
-	Silent                 // nothing, until the router gives up
+	Served          Kind = iota // 200
+	ServerError                 // 500: it may have run
+	TurnedAway                  // 503 that says so: it has not run
+	ConnectionReset             // the connection is reset
+	Silent                      // nothing, until the router gives up
 )
 
 // Request is one attempt of a router, whole.
@@ -101,7 +101,7 @@
 	case Served:
 		w.Header().Set("Content-Length", strconv.Itoa(len(reply.Body)))
 		w.Write(reply.Body)
-	case Erred:
+	case ServerError:
 		http.Error(w, "failed", http.StatusInternalServerError)
 	case TurnedAway:
 		w.Header().Set("X-Turned-Away", "1")
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -95,7 +95,7 @@
 }
 
 // Tell brings news to those who watch.
-func (s *Server) Tell(state State) {
+func (s *Server) Announce(state State) {
 	s.mu.Lock()
 	s.state = state
 	s.mu.Unlock()
@@ -104,7 +104,7 @@
 
 // Silence lets the platform stand still: it takes calls and writes nothing. Calls that it has not answered by the
 // end are lost with their connections.
-func (s *Server) Silence(on bool) {
+func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = on
