--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -387,7 +387,7 @@
 	ctx, stop := context.WithCancel(st.ctx)
 	st.calls[t] = stop
 	st.tries[t.ID()] = t
-	ask := clients.Ask{ID: t.ID(), Class: t.Class(), Tenant: t.Tenant(st.w), Key: fmt.Sprintf("%016x", t.Request.Key),
+	ask := clients.Request{ID: t.ID(), Class: t.Class(), Tenant: t.Tenant(st.w), Key: fmt.Sprintf("%016x", t.Request.Key),
 		DedupKey: t.DedupKey(), Post: t.Repeat() != "safe", Wait: t.Until - st.w.Now()}
 	ready := r.ready
 	st.work.Go(func() {
@@ -441,13 +441,13 @@
 
 // News tells a router through its platform.
 func (st *stage) ReleaseChanged(i int, s rehearsal.ReleaseState) {
-	st.routers[i].desk.Tell(st.state(s))
+	st.routers[i].desk.Announce(st.state(s))
 }
 
 // Silence lets the platform stand still.
 func (st *stage) SilenceLauncher(on bool) {
 	for _, r := range st.routers {
-		r.desk.Silence(on)
+		r.desk.SetSilent(on)
 	}
 }
 
@@ -506,7 +506,7 @@
 }
 
 var kinds = map[rehearsal.Reply]hosts.Kind{rehearsal.Good: hosts.Served, rehearsal.Wrong: hosts.Served,
-	rehearsal.Erred: hosts.Erred, rehearsal.TurnedAway: hosts.TurnedAway, rehearsal.Broken: hosts.Broken}
+	rehearsal.Erred: hosts.ServerError, rehearsal.TurnedAway: hosts.TurnedAway, rehearsal.Broken: hosts.ConnectionReset}
 
 // serve brings an attempt to its host in the world, and waits for its reply there.
 func (st *stage) serve(ctx context.Context, from int, h *rehearsal.Host, q hosts.Request) hosts.Reply {
@@ -539,5 +539,5 @@
 		})
 	case <-st.ctx.Done():
 	}
-	return hosts.Reply{Kind: hosts.Broken}
+	return hosts.Reply{Kind: hosts.ConnectionReset}
 }
