--- a/internal/standin/clients/clients.go
+++ b/internal/standin/clients/clients.go
@@ -1,4 +1,4 @@
-// Package clients stands in for those who ask the router: requests and answers as the users' protocol has them.
+// Package clients is a test double of the router's clients: it sends requests and reads answers in the users' protocol.
 package clients
 
 import (
@@ -14,38 +14,38 @@
 	"time"
 )
 
-// Ask is one request.
+// Request is one client request.
 type Request struct {
 	ID, Class, Tenant, Key, DedupKey string
 	Post                             bool
 	Wait                             time.Duration // how long the client waits for the answer
 }
 
-// Answer is what came back, whole.
+// Answer is a complete answer to a Request.
 type Answer struct {
 	Status     int
 	RetryAfter time.Duration
 	Body       []byte
 }
 
-// ErrRefused tells that no connection came up: nobody has taken the request.
+// ErrRefused reports that no connection could be established, so that no router has received the request.
 var ErrRefused = errors.New("connection refused")
 
-// Pool keeps the clients' connections.
+// Pool is an HTTP client that keeps connections to the routers for reuse.
 type Pool struct{ http http.Client }
 
-// New makes a pool.
+// New returns an empty pool.
 func New() *Pool {
 	return &Pool{http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 2 * time.Second,
 		DisableCompression: true}}}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (p *Pool) Close() { p.http.CloseIdleConnections() }
 
 const maxAnswer = 4 << 20
 
-// Ready tells whether a router at an address says that it is.
+// Ready reports whether the router at addr answers its readiness check with 200.
 func (p *Pool) Ready(ctx context.Context, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/-/ready", nil)
 	if err != nil {
@@ -59,7 +59,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Do asks a router at an address. When ctx ends, the client closes its connection.
+// Do sends the request to the router at addr and returns the complete answer. When ctx ends, the client closes its
+// connection.
 func (p *Pool) Do(ctx context.Context, addr string, r Request) (Answer, error) {
 	method, body := http.MethodGet, io.Reader(nil)
 	if r.Post {
--- a/internal/standin/hosts/hosts.go
+++ b/internal/standin/hosts/hosts.go
@@ -1,5 +1,5 @@
-// Package hosts stands in for the servers behind the router, as the users' protocol has them: HTTP/1.1, a load
-// report with any answer, and every way in which an attempt may end.
+// Package hosts is a test double of the hosts behind the router. It speaks the users' protocol: HTTP/1.1, an optional
+// load report with each answer, and every way in which an attempt may end.
 package hosts
 
 import (
@@ -14,36 +14,36 @@
 	"time"
 )
 
-// Kind is how a request ends.
+// Kind is how an attempt ends.
 type Kind int
 
-// Kinds of replies.
+// The kinds of replies.
 const (
 	Served          Kind = iota // 200
-	ServerError                 // 500: it may have run
-	TurnedAway                  // 503 that says so: it has not run
-	ConnectionReset             // the connection is reset
-	Silent                      // nothing, until the router gives up
+	ServerError                 // 500: the request may have run
+	TurnedAway                  // 503 with X-Turned-Away: the request has not run
+	ConnectionReset             // the connection is reset without an answer
+	Silent                      // no answer until the router gives up or the host closes; then the connection is reset
 )
 
-// Request is one attempt of a router, whole.
+// Request is one attempt of a router, with its complete body.
 type Request struct {
 	ID, Method, Target, DedupKey string
 	Remaining                    time.Duration
 	Body                         []byte
 }
 
-// Reply is what comes back.
+// Reply is what the host sends back.
 type Reply struct {
 	Kind Kind
-	Body []byte // of an answer that is served
-	Load string // the report's text; empty: none
+	Body []byte // body of a Served answer
+	Load string // text of the load report; empty: no report
 }
 
-// Handler answers one request; ctx ends when the router closes the connection.
+// Handler decides the reply to one request; ctx ends when the router closes the connection.
 type Handler func(ctx context.Context, q Request) Reply
 
-// Server is one host at one address.
+// Server is one host that listens on one address.
 type Server struct {
 	listen net.Listener
 	http   http.Server
@@ -54,7 +54,7 @@
 
 const maxBody = 64 << 10
 
-// Listen starts a host at a loopback address; port 0 picks one.
+// Listen starts a host that listens on addr; port 0 picks a free port.
 func Listen(addr string, h Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -64,22 +64,23 @@
 	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, h) })
 	s.work.Go(func() {
 		if err := s.http.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			panic(err) // a defect of the stand-in: its listener is its own
+			panic(err) // a defect of the test double: nothing else closes its listener
 		}
 	})
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the host listens on.
 func (s *Server) Addr() string { return s.listen.Addr().String() }
 
-// Close ends the host as a dying process does: its connections are reset, new ones refused.
+// Close ends the host as a crash does: its connections are closed at once and new ones are refused.
 func (s *Server) Close() {
 	s.once.Do(func() { close(s.done) })
 	s.http.Close()
 	s.work.Wait()
 }
 
+// serve reads a request and sends the reply that the handler decides.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, h Handler) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
@@ -117,7 +118,7 @@
 	}
 }
 
-// reset ends a connection as a dying process does.
+// reset closes a connection with a TCP reset, as the kernel does for a crashed process.
 func reset(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/standin/patterns/patterns.go
+++ b/internal/standin/patterns/patterns.go
@@ -1,5 +1,5 @@
-// Package patterns draws how sites come and go: periodic, memoryless, heavy-tailed, by the hour of the day, drifting,
-// changing, and with operators' calendars that are right and wrong.
+// Package patterns generates the times at which sites go down and come back: periodic, memoryless, heavy-tailed, by the
+// hour of the day, with a drifting period, with a change of pattern, and with operators' calendars that are right or wrong.
 package patterns
 
 import (
@@ -8,23 +8,24 @@
 	"math/rand/v2"
 )
 
-// Minute and Day are in ms.
+// Minute and Day are durations in ms.
 const (
 	Minute = int64(60_000)
 	Day    = 24 * 60 * Minute
 )
 
-// Span is a planned outage, in ms.
+// Span is a planned outage from one time until another, in ms.
 type Span struct{ From, Until int64 }
 
-// Pattern draws the stretches of a site: when it changes, in ms, beginning up at 0, and what operators wrote down.
+// Pattern is one way in which a site's availability changes. Draw returns the times in ms at which the site changes
+// between up and down, from 0, when it is up, and the outages that operators planned.
 type Pattern struct {
 	Name       string
-	Structured bool // there is something to learn beyond the state
+	Structured bool // the next change can be predicted better than from the current state alone
 	Draw       func(rng *rand.Rand, until int64) (changes []int64, calendar []Span)
 }
 
-// Up tells whether a site that changes so is up at a time, and when it changes next.
+// Up reports whether a site with these changes is up at a time, and when it changes next (math.MaxInt64: never).
 func Up(changes []int64, at int64) (up bool, next int64) {
 	up = true
 	for _, x := range changes {
@@ -36,6 +37,7 @@
 	return up, math.MaxInt64
 }
 
+// alternate returns changes after up times and down times in turn, drawn in minutes, each at least 5 s.
 func alternate(until int64, up, down func(at int64) float64) (changes []int64) {
 	at, isUp := int64(0), true
 	for at < until {
@@ -50,7 +52,8 @@
 	return changes
 }
 
-// daily is down from one hour of the day to another, with some scatter, and shifted by so many hours from a day on.
+// daily returns changes of a site that is down from one hour of each day to another. Each change is scattered by a
+// normal deviation in hours; from day shiftDay on, all are shifted by so many hours.
 func daily(rng *rand.Rand, until int64, from, to, scatter, shift float64, shiftDay int64) (changes []int64) {
 	day := Day
 	for d := int64(0); d*day < until; d++ {
@@ -66,7 +69,7 @@
 	return changes
 }
 
-// All are the patterns that forecasts and plans are judged on.
+// All returns the patterns with which tests measure forecasts and plans.
 func All() []Pattern {
 	exp := func(rng *rand.Rand, mean float64) func(int64) float64 {
 		return func(int64) float64 { return rng.ExpFloat64() * mean }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform stands in for the release platform: text lines, votes that are answered in order, and news to
-// those who watch.
+// Package platform is a test double of the release platform. It speaks the platform's protocol of text lines, answers
+// votes in the order in which they were sent, and announces states to connections that watch.
 package platform
 
 import (
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Vote is one call.
+// Vote is one vote on a build's stage.
 type Vote struct {
 	Build, Stage int
 	Verdict      string // blank, go, stay or stop
 }
 
-// State is the newest build's, in the protocol's words.
+// State is the state of the newest build, as the protocol encodes it.
 type State struct {
 	Build, Stage int
 	Phase        string // trial, rolling_back, released or withdrawn
@@ -27,18 +27,21 @@
 	Age          time.Duration
 }
 
+// encode returns the state's fields as a line of the protocol has them.
 func (s State) encode() string {
 	return fmt.Sprintf("%d %d %s %g %d", s.Build, s.Stage, s.Phase, s.Cap, s.Age.Milliseconds())
 }
 
-// OK is the answer to a vote that counts; Error one that does not: BUSY, STALE, FAILED or SYNTAX.
-func OK(s State) string        { return "OK " + s.encode() }
+// OK returns the answer to a vote that counts.
+func OK(s State) string { return "OK " + s.encode() }
+
+// Error returns the answer to a vote that does not count; word is BUSY, STALE, FAILED or SYNTAX.
 func Error(word string) string { return "ERR " + word }
 
-// Handler takes a vote; reply is to be called once, from any goroutine, or never.
+// Handler decides the answer to a vote. It calls reply at most once, from any goroutine.
 type Handler func(v Vote, reply func(text string))
 
-// Server is the platform as one router reaches it.
+// Server is the release platform that one router connects to.
 type Server struct {
 	listen net.Listener
 	handle Handler
@@ -51,23 +54,23 @@
 	conns  map[*conn]bool
 }
 
-// conn is one connection; each answer waits for those before it.
+// conn is one connection. An answer is written only after the answers to all earlier calls.
 type conn struct {
 	net.Conn
 	answers chan chan string // in the order of the calls
 
 	mu         sync.Mutex
 	watching   bool
-	unanswered int // calls not answered yet
+	unanswered int // number of calls without an answer
 }
 
 const (
-	keepAlivePeriod = time.Second // a sign of life
+	keepAlivePeriod = time.Second // how often watches get a keep-alive line
 	maxPending      = 1000
 	maxLine         = 8 << 10
 )
 
-// Listen starts a platform at a loopback address; port 0 picks one.
+// Listen starts a platform that listens on addr, with its first state; port 0 picks a free port.
 func Listen(addr string, first State, h Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -79,10 +82,10 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the platform listens on.
 func (s *Server) Addr() string { return s.listen.Addr().String() }
 
-// Close ends it and its connections.
+// Close stops the platform and closes its connections.
 func (s *Server) Close() {
 	close(s.done)
 	s.listen.Close()
@@ -94,7 +97,7 @@
 	s.work.Wait()
 }
 
-// Tell brings news to those who watch.
+// Announce sets the state and sends it to the connections that watch.
 func (s *Server) Announce(state State) {
 	s.mu.Lock()
 	s.state = state
@@ -102,8 +105,9 @@
 	s.broadcast("* news " + state.encode())
 }
 
-// Silence lets the platform stand still: it takes calls and writes nothing. Calls that it has not answered by the
-// end are lost with their connections.
+// SetSilent makes the platform unresponsive, or responsive again: while it is silent, it still takes calls but
+// sends no states and no keep-alives, and its handler is expected to give no replies. When the silence ends, connections with unanswered calls
+// are closed, so that those calls are lost.
 func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,6 +121,7 @@
 	}
 }
 
+// broadcast sends a line to all connections that watch, unless the platform is silent.
 func (s *Server) broadcast(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +133,7 @@
 	}
 }
 
-// write sends a line; a reader that has fallen behind is cut off.
+// write sends a line. It closes the connection if the client doesn't read it in time.
 func (c *conn) write(line string) {
 	c.SetWriteDeadline(time.Now().Add(keepAlivePeriod))
 	if _, err := c.Write([]byte(line + "\r\n")); err != nil {
@@ -136,7 +141,7 @@
 	}
 }
 
-// live sends signs of life.
+// sendKeepAlives sends a keep-alive line to the watches at intervals, so that clients see that the platform is alive.
 func (s *Server) sendKeepAlives() {
 	t := time.NewTicker(keepAlivePeriod)
 	defer t.Stop()
@@ -164,7 +169,7 @@
 		s.conns[tracked] = true
 		s.mu.Unlock()
 		select {
-		case <-s.done: // it came as the platform closed
+		case <-s.done: // it was accepted while the platform closed
 			c.Close()
 		default:
 		}
@@ -172,7 +177,7 @@
 	}
 }
 
-// serve reads calls; another goroutine writes their answers in order.
+// serve reads the calls of one connection; another goroutine writes their answers in order.
 func (s *Server) serve(c *conn) {
 	ended := make(chan struct{})
 	s.work.Go(func() { s.writeAnswers(c, ended) })
@@ -220,6 +225,7 @@
 	}
 }
 
+// writeAnswers writes each answer after those to earlier calls, until the connection ends.
 func (s *Server) writeAnswers(c *conn, ended <-chan struct{}) {
 	for {
 		select {
