--- a/internal/rehearsal/chart/chart.go
+++ b/internal/rehearsal/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws what rehearsals came to, as PNG files.
+// Package chart draws the results of rehearsals as PNG files.
 package chart
 
 import (
@@ -29,8 +29,8 @@
 	height = 9 * vg.Centimeter
 )
 
-// Timeline draws a rehearsal by its windows into dir, and names the file: service, load and refusals, answer times,
-// one over the other, with the troubles shaded and the waves marked.
+// Timeline draws a rehearsal's windows into a file in dir and returns its path. It stacks three plots: service, requests
+// with refusals and failures, and answer times. Troubles are shaded and waves are marked in the first two.
 func Timeline(r rehearsal.Report, dir string) (string, error) {
 	service, load, times := plot.New(), plot.New(), plot.New()
 	service.Title.Text = fmt.Sprintf("%s, seed %d, %s: service %.3f", r.Script, r.Seed, r.Policy, r.Service)
@@ -82,7 +82,7 @@
 	return saveStacked(filepath.Join(dir, r.Script+".png"), service, load, times)
 }
 
-// marks shades troubles and draws a line at each wave, with their names if asked.
+// addMarks shades the troubles and draws a line at each wave, with their names if named is set.
 func addMarks(p *plot.Plot, r rehearsal.Report, named bool) error {
 	for i, m := range r.Marks {
 		labelY := p.Y.Min + (p.Y.Max-p.Y.Min)*(0.08+0.075*float64(i%10))
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// save draws plots one over the other.
+// saveStacked draws plots one above the other into a PNG file and returns its path.
 func saveStacked(path string, plots ...*plot.Plot) (string, error) {
 	img := vgimg.New(width, height*vg.Length(len(plots)))
 	dc := draw.New(img)
@@ -133,7 +133,8 @@
 	})
 }
 
-// Sweep draws a figure over the values of a sweep, a box each with the spread over its seeds.
+// Sweep draws the figures of a sweep into a file in dir and returns its path. Each value of the sweep has a box plot of
+// the spread over its seeds; figures without data are left out.
 func Sweep(s rehearsal.Sweep, dir string) (string, error) {
 	var plots []*plot.Plot
 	for _, f := range []struct {
