--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -517,12 +517,12 @@
 
 // serveAttempt passes a router's attempt on to its host in the world and waits for the host's reply.
 func (st *runState) serveAttempt(ctx context.Context, from int, h *rehearsal.Host, q hosts.Request) hosts.Reply {
-	out := make(chan hosts.Reply, 1)
+	replies := make(chan hosts.Reply, 1)
 	var a *rehearsal.Attempt
 	st.enqueue(func() {
 		t := st.tries[q.ID]
 		if t == nil || ctx.Err() != nil { // no client sent it, or the router has given it up
-			out <- hosts.Reply{Kind: hosts.TurnedAway}
+			replies <- hosts.Reply{Kind: hosts.TurnedAway}
 			return
 		}
 		a = &rehearsal.Attempt{Try: t, Router: from, Host: h, SentAt: st.world.Now(),
@@ -531,12 +531,12 @@
 				if l != nil {
 					reply.Load = fmt.Sprintf("inflight=%g,queue=%g,util=%g", l.InFlight, l.Queue, l.Utilization)
 				}
-				out <- reply
+				replies <- reply
 			}}
 		st.world.Arrive(a, false)
 	})
 	select {
-	case r := <-out:
+	case r := <-replies:
 		return r
 	case <-ctx.Done():
 		st.enqueue(func() {
--- a/internal/rehearsal/script/check.go
+++ b/internal/rehearsal/script/check.go
@@ -22,7 +22,7 @@
 	maxRequestsPerSecond = 200000
 	maxLength            = 24 * time.Hour
 	maxRequests          = 1e8 // requests
-	maxList              = 1000
+	maxListEntries       = 1000
 )
 
 // checker checks values of a script and keeps the first error.
@@ -126,8 +126,8 @@
 
 // checkTraffic checks the classes, tenants and clients.
 func (s *Script) checkTraffic(c *checker, k Clients) {
-	requireRange(c, "classes", len(s.Classes), 1, maxList)
-	requireRange(c, "tenants", len(s.Tenants), 1, maxList)
+	requireRange(c, "classes", len(s.Classes), 1, maxListEntries)
+	requireRange(c, "tenants", len(s.Tenants), 1, maxListEntries)
 	classes, tenants := map[string]bool{}, map[string]bool{}
 	for i, x := range s.Classes {
 		at := func(f string) string { return fmt.Sprintf("classes[%d].%s", i, f) }
@@ -166,8 +166,8 @@
 
 // checkTimeline checks the releases and troubles, and sets the defaults of their values that are left out.
 func (s *Script) checkTimeline(c *checker) {
-	requireRange(c, "releases", len(s.Releases), 0, maxList)
-	requireRange(c, "troubles", len(s.Troubles), 0, maxList)
+	requireRange(c, "releases", len(s.Releases), 0, maxListEntries)
+	requireRange(c, "troubles", len(s.Troubles), 0, maxListEntries)
 	isEmptyOrKnown := func(name string, count int, nameOf func(int) string) bool {
 		for i := range count {
 			if nameOf(i) == name {
--- a/internal/standin/hosts/hosts.go
+++ b/internal/standin/hosts/hosts.go
@@ -52,16 +52,16 @@
 	work   sync.WaitGroup
 }
 
-const maxBody = 64 << 10
+const maxBodyBytes = 64 << 10
 
 // Listen starts a host that listens on addr; port 0 picks a free port.
-func Listen(addr string, h Handler) (*Server, error) {
+func Listen(addr string, handler Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("host: %w", err)
 	}
 	s := &Server{listen: l, done: make(chan struct{})}
-	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, h) })
+	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, handler) })
 	s.work.Go(func() {
 		if err := s.http.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			panic(err) // a defect of the test double: nothing else closes its listener
@@ -81,8 +81,8 @@
 }
 
 // serve reads a request and sends the reply that the handler decides.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, h Handler) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, handler Handler) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "body", http.StatusBadRequest)
 		return
@@ -94,7 +94,7 @@
 		http.Error(w, "no id", http.StatusNotFound)
 		return
 	}
-	reply := h(r.Context(), q)
+	reply := handler(r.Context(), q)
 	if reply.Load != "" {
 		w.Header().Set("X-Pressure", reply.Load)
 	}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -43,10 +43,10 @@
 
 // Server is the release platform that one router connects to.
 type Server struct {
-	listen net.Listener
-	handle Handler
-	work   sync.WaitGroup
-	done   chan struct{}
+	listen  net.Listener
+	handler Handler
+	work    sync.WaitGroup
+	done    chan struct{}
 
 	mu     sync.Mutex
 	silent bool
@@ -66,8 +66,8 @@
 
 const (
 	keepAlivePeriod = time.Second // how often watches get a keep-alive line
-	maxPending      = 1000
-	maxLine         = 8 << 10
+	maxPendingCalls = 1000
+	maxLineBytes    = 8 << 10
 )
 
 // Listen starts a platform that listens on addr, with its first state; port 0 picks a free port.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	s := &Server{listen: l, handle: h, done: make(chan struct{}), state: first, conns: map[*conn]bool{}}
+	s := &Server{listen: l, handler: h, done: make(chan struct{}), state: first, conns: map[*conn]bool{}}
 	s.work.Go(s.accept)
 	s.work.Go(s.sendKeepAlives)
 	return s, nil
@@ -164,7 +164,7 @@
 			}
 			return
 		}
-		tracked := &conn{Conn: c, answers: make(chan chan string, maxPending)}
+		tracked := &conn{Conn: c, answers: make(chan chan string, maxPendingCalls)}
 		s.mu.Lock()
 		s.conns[tracked] = true
 		s.mu.Unlock()
@@ -189,7 +189,7 @@
 		s.mu.Unlock()
 	}()
 	lines := bufio.NewScanner(c)
-	lines.Buffer(make([]byte, 0, 256), maxLine)
+	lines.Buffer(make([]byte, 0, 256), maxLineBytes)
 	for lines.Scan() {
 		text := strings.TrimRight(lines.Text(), "\r")
 		slot := make(chan string, 1)
@@ -218,7 +218,7 @@
 				slot <- Error("SYNTAX")
 				continue
 			}
-			s.handle(Vote{build, stage, words[3]}, func(text string) { slot <- text })
+			s.handler(Vote{build, stage, words[3]}, func(text string) { slot <- text })
 		default:
 			slot <- Error("SYNTAX")
 		}
