--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -105,9 +105,9 @@
 	s.broadcast("* news " + state.encode())
 }
 
-// SetSilent makes the platform unresponsive, or responsive again: while it is silent, it still takes calls but
-// sends no states and no keep-alives, and its handler is expected to give no replies. When the silence ends, connections with unanswered calls
-// are closed, so that those calls are lost.
+// SetSilent makes the platform unresponsive, or responsive again. While it is silent, it still takes calls but sends no
+// states and no keep-alives, and its handler is expected to give no replies. When the silence ends, connections with
+// unanswered calls are closed, so that those calls are lost.
 func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
