--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 lint:
 	@unformatted=$$(gofmt -l cmd internal logic); if [ -n "$$unformatted" ]; then echo "not formatted by gofmt: $$unformatted"; exit 1; fi
 	go vet ./...
+	go tool -modfile=tools/lint.mod staticcheck ./...
 
 run: build
 	bin/merlinarch serve --config "$(CONFIG)"
--- a/internal/decide/contact/contact.go
+++ b/internal/decide/contact/contact.go
@@ -293,51 +293,51 @@
 
 // countTimeOfDay adds an observation to its time of day. It counts the time since the previous observation, at most the
 // length of a bin.
-func (x *Site) countTimeOfDay(now int64, state State) {
+func (s *Site) countTimeOfDay(now int64, state State) {
 	b, day := timeOfDayBin(now)
-	if daysSince := day - x.LastDayByBin[b]; daysSince > 0 {
+	if daysSince := day - s.LastDayByBin[b]; daysSince > 0 {
 		decay := math.Pow(dayDecay, float64(min(daysSince, 60)))
-		x.UpSecondsByBin[b] *= decay
-		x.SeenSecondsByBin[b] *= decay
-		x.LastDayByBin[b] = day
+		s.UpSecondsByBin[b] *= decay
+		s.SeenSecondsByBin[b] *= decay
+		s.LastDayByBin[b] = day
 	}
-	elapsed := min(float64(now-x.Seen), float64(dayLength.Milliseconds()/dayBins)) / 1000
-	x.SeenSecondsByBin[b] += elapsed
+	elapsed := min(float64(now-s.Seen), float64(dayLength.Milliseconds()/dayBins)) / 1000
+	s.SeenSecondsByBin[b] += elapsed
 	if state == Up {
-		x.UpSecondsByBin[b] += elapsed
+		s.UpSecondsByBin[b] += elapsed
 	}
 }
 
 // countPlannedOutage counts whether a planned outage occurs, once for each outage, after its first quarter.
-func (x *Site) countPlannedOutage(now int64, state State, calendar []Span) {
+func (s *Site) countPlannedOutage(now int64, state State, calendar []Span) {
 	c := outageAt(calendar, now)
-	if c == nil || c.From <= x.LastCountedOutage || now < c.From+(c.Until-c.From)/4 {
+	if c == nil || c.From <= s.LastCountedOutage || now < c.From+(c.Until-c.From)/4 {
 		return
 	}
-	x.LastCountedOutage = c.From
-	x.OutagesOccurred, x.OutagesPlanned = x.OutagesOccurred*intervalDecay, x.OutagesPlanned*intervalDecay+1
+	s.LastCountedOutage = c.From
+	s.OutagesOccurred, s.OutagesPlanned = s.OutagesOccurred*intervalDecay, s.OutagesPlanned*intervalDecay+1
 	if state == Down {
-		x.OutagesOccurred++
+		s.OutagesOccurred++
 	}
 }
 
 // expertForecasts returns each expert's probability that the site is up at a time: by the renewal process, by the time of day,
 // by the mean over all time, and if the state does not change.
-func (x *Site) expertForecasts(now, at int64) (p [expertCount]float64) {
-	up, down := x.Durations[0].hazards(), x.Durations[1].hazards()
+func (s *Site) expertForecasts(now, at int64) (p [expertCount]float64) {
+	up, down := s.Durations[0].hazards(), s.Durations[1].hazards()
 	total, upTotal := 0.0, 0.0
 	for b := range dayBins {
-		total += x.SeenSecondsByBin[b]
-		upTotal += x.UpSecondsByBin[b]
+		total += s.SeenSecondsByBin[b]
+		upTotal += s.UpSecondsByBin[b]
 	}
 	meanUp := (upTotal + 60) / (total + 120)
 	b, _ := timeOfDayBin(at)
 	const shrinkage = 120 // weight of the mean in a bin's estimate, in seconds of observation
-	p[0] = x.renewalUpProbability(&up, &down, millis(now-x.Since), millis(at-now))
-	p[1] = (x.UpSecondsByBin[b] + shrinkage*meanUp) / (x.SeenSecondsByBin[b] + shrinkage)
+	p[0] = s.renewalUpProbability(&up, &down, millis(now-s.Since), millis(at-now))
+	p[1] = (s.UpSecondsByBin[b] + shrinkage*meanUp) / (s.SeenSecondsByBin[b] + shrinkage)
 	p[2] = meanUp
 	p[3] = 0.02
-	if x.State == Up {
+	if s.State == Up {
 		p[3] = 0.98
 	}
 	for e := range p {
@@ -348,15 +348,15 @@
 
 // renewalUpProbability returns the probability of being up after d. It steps through the look-ahead in equal steps and keeps
 // the probabilities of both states by age: of the current interval, and of intervals that may begin later.
-func (x *Site) renewalUpProbability(up, down *[ageBins]float64, age, d time.Duration) float64 {
+func (s *Site) renewalUpProbability(up, down *[ageBins]float64, age, d time.Duration) float64 {
 	if d <= 0 {
-		if x.State == Up {
+		if s.State == Up {
 			return 1
 		}
 		return 0
 	}
 	hazards := [2]*[ageBins]float64{up, down}
-	mean := min(1/x.Durations[0].meanHazard(), 1/x.Durations[1].meanHazard())
+	mean := min(1/s.Durations[0].meanHazard(), 1/s.Durations[1].meanHazard())
 	steps := max(minSteps, min(maxSteps, int(stepsPerInterval*d.Seconds()/mean)))
 	dt := d / time.Duration(steps)
 	var inInterval [2][maxSteps + 1]float64 // probability that an interval of this kind began k steps ago and still runs
@@ -364,7 +364,7 @@
 	for k := range steps + 1 {
 		survives[0][k], survives[1][k] = survivalProbability(up, time.Duration(k)*dt, dt), survivalProbability(down, time.Duration(k)*dt, dt)
 	}
-	inCurrent, current := 1.0, stateIndex(x.State) // inCurrent: probability that the current interval still runs
+	inCurrent, current := 1.0, stateIndex(s.State) // inCurrent: probability that the current interval still runs
 	for range steps {
 		var begins [2]float64
 		stay := survivalProbability(hazards[current], age, dt)
@@ -394,27 +394,27 @@
 }
 
 // queueForecasts stores forecasts whose outcome is compared when their time comes.
-func (x *Site) queueForecasts(now int64) {
+func (s *Site) queueForecasts(now int64) {
 	for i := range horizonCount {
 		spacing := horizonLengths[i].Milliseconds() / maxPending
-		if n := len(x.Pending[i]); n >= maxPending || n > 0 && x.Pending[i][n-1].DueMs-horizonLengths[i].Milliseconds()+spacing > now {
+		if n := len(s.Pending[i]); n >= maxPending || n > 0 && s.Pending[i][n-1].DueMs-horizonLengths[i].Milliseconds()+spacing > now {
 			continue
 		}
 		at := now + horizonLengths[i].Milliseconds()
-		x.Pending[i] = append(x.Pending[i], pendingForecast{at, x.expertForecasts(now, at)})
+		s.Pending[i] = append(s.Pending[i], pendingForecast{at, s.expertForecasts(now, at)})
 	}
 }
 
 // updateWeights updates the experts' weights from the forecasts that are due now.
-func (x *Site) updateWeights(now int64, state State) {
+func (s *Site) updateWeights(now int64, state State) {
 	for i := range horizonCount {
-		for len(x.Pending[i]) > 0 && x.Pending[i][0].DueMs <= now {
-			f := x.Pending[i][0]
-			x.Pending[i] = x.Pending[i][1:]
+		for len(s.Pending[i]) > 0 && s.Pending[i][0].DueMs <= now {
+			f := s.Pending[i][0]
+			s.Pending[i] = s.Pending[i][1:]
 			if now-f.DueMs > horizonLengths[i].Milliseconds()/4 {
 				continue // the site was not observed at that time
 			}
-			w, sum := &x.Weights[i], 0.0
+			w, sum := &s.Weights[i], 0.0
 			for e := range expertCount {
 				p := f.Probabilities[e]
 				if state == Down {
--- a/internal/servers/response.go
+++ b/internal/servers/response.go
@@ -168,7 +168,7 @@
 }
 
 // applyHeader interprets one header line; name is in lower case. Headers that the router does not use are ignored.
-func (resp *response) applyHeader(f *framing, name, value string) error {
+func (r *response) applyHeader(f *framing, name, value string) error {
 	switch name {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
@@ -186,9 +186,9 @@
 			f.closeAfter = f.closeAfter || strings.EqualFold(strings.TrimSpace(option), "close")
 		}
 	case headerLoad:
-		resp.load = parseLoad(value)
+		r.load = parseLoad(value)
 	case headerRejected:
-		resp.rejected = value == "1"
+		r.rejected = value == "1"
 	}
 	return nil
 }
--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks the formatting, go vet and the imports of packages, then builds the programs and runs all tests with the race
-# detector. The tests also check the limits on the policy file, and run the fuzz targets on their seed inputs.
-# deploy/run-tests.sh describes KNOWN-RED.txt.
+# Checks the formatting, go vet, staticcheck (settings: staticcheck.conf) and the imports of packages, then builds the
+# programs and runs all tests with the race detector. The tests also check the limits on the policy file, and run the
+# fuzz targets on their seed inputs. deploy/run-tests.sh describes KNOWN-RED.txt.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l cmd internal logic)
@@ -10,6 +10,7 @@
     exit 1
 fi
 go vet ./...
+go tool -modfile=tools/lint.mod staticcheck ./...
 ./deploy/check-decisions.sh
 if ./deploy/check-decisions.sh ./internal/gateway 2>/dev/null; then
     echo "deploy/check-decisions.sh accepts a package that does I/O" >&2
