--- a/cmd/merlinarch/serve.go
+++ b/cmd/merlinarch/serve.go
@@ -196,7 +196,7 @@
 // followerOptions returns the options with which this router follows the replicated configuration.
 func followerOptions(a features.Accord, c config.Config) accord.Options {
 	return accord.Options{Cluster: a.Cluster, Name: c.Name, Site: c.Settings.Zone, Registrars: a.Registrars, Mode: lease.Mode(a.WithoutLease),
-		Terms: a.LeaseTerms(), ClockStep: a.ClockStep, Clock: accord.Clock{Rate: a.ClockRate}, Seed: c.Seed, SendServerEvidence: a.Auto.MinAgreeing > 0}
+		Terms: a.LeaseTerms(), ClockStep: a.ClockStep, Clock: accord.Clock{Rate: a.ClockRate}, Seed: c.Seed, SendServerEvidence: a.Auto.MinDispatchers > 0}
 }
 
 // reloadConfig rereads the configuration file and switches to the addresses that it names now. A file that can't be used
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -42,10 +42,10 @@
 
 // AutoCordon holds the settings by which registrars cordon servers on the evidence of the dispatchers.
 type AutoCordon struct {
-	MinAgreeing int     `json:"agreeing"` // dispatchers whose evidence has to agree; 0: off
-	MaxCordons  int     `json:"most"`     // automatic cordons that may be in force at a time
-	ErrorShare  float64 `json:"share"`    // share of a server's answers that have to be errors
-	MinAnswers  int     `json:"least"`    // answers that a dispatcher needs as evidence
+	MinDispatchers int     `json:"agreeing"` // dispatchers whose evidence has to agree; 0: off
+	MaxCordons     int     `json:"most"`     // automatic cordons that may be in force at a time
+	ErrorShare     float64 `json:"share"`    // share of a server's answers that have to be errors
+	MinAnswers     int     `json:"least"`    // answers that a dispatcher needs as evidence
 }
 
 // Enabled reports whether the accord is on.
@@ -90,7 +90,7 @@
 		return "budget", fmt.Sprintf("expected 0 to 1, got %g", a.Budget)
 	case a.ColdTime < 0:
 		return "cold", "expected a time from 0s"
-	case a.Auto.MinAgreeing < 0 || a.Auto.MaxCordons < 0 || a.Auto.MinAnswers < 0 || a.Auto.ErrorShare < 0 || a.Auto.ErrorShare > 1:
+	case a.Auto.MinDispatchers < 0 || a.Auto.MaxCordons < 0 || a.Auto.MinAnswers < 0 || a.Auto.ErrorShare < 0 || a.Auto.ErrorShare > 1:
 		return "auto", "expected numbers from 0, and a share up to 1"
 	case a.DispatchLimit < 1:
 		return "dispatch_room", "expected at least 1"
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -172,7 +172,7 @@
 // newNode restores a node from its store.
 func newNode(o Options, store *store, peers *peers, inbox *mailbox[any], storeInbox *mailbox[storeRequest], counters *metrics.Set, log *zap.Logger) (*node, error) {
 	n := &node{opts: o, id: store.id, inbox: inbox, storeInbox: storeInbox, peers: peers, log: log, counters: counters, replies: map[string]func(any){},
-		state: statemachine.New(o.Budget, o.SlowStart.Milliseconds())}
+		state: statemachine.New(o.Budget, o.ColdTime.Milliseconds())}
 	snapshot, err := store.memory.Snapshot()
 	if err != nil {
 		return nil, err
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -45,7 +45,7 @@
 	Terms      lease.Terms
 	Budget     cordon.Budget
 	AutoCordon cordon.AutoPolicy
-	SlowStart  time.Duration // slow start of a server after its cordon is lifted
+	ColdTime   time.Duration // slow start of a server after its cordon is lifted
 	Schedule   schedule.Settings
 	Clock      accord.Clock
 	WallClock  func() time.Time // wall clock, for the times in the replicated state; nil: time.Now
@@ -65,7 +65,7 @@
 // Init creates the store of one of the registrars of a new cluster. It may be done only once: a store that is lost is
 // replaced with Join.
 func Init(o Options) error {
-	state := statemachine.New(o.Budget, o.SlowStart.Milliseconds())
+	state := statemachine.New(o.Budget, o.ColdTime.Milliseconds())
 	confState := &pb.ConfState{}
 	for name, addr := range o.Registrars {
 		state.ReplaceRegistrar(name, statemachine.Registrar{ID: initialID(o.Cluster, name), Addr: addr})
@@ -229,7 +229,7 @@
 	}
 	last, _ := store.memory.LastIndex()
 	hello := Hello{Cluster: o.Cluster, Name: o.Name, ID: store.id.ID, Boots: store.id.Boots, StartToken: rand.Text(), LastIndex: last, Term: hardState.GetTerm()}
-	state := statemachine.New(o.Budget, o.SlowStart.Milliseconds())
+	state := statemachine.New(o.Budget, o.ColdTime.Milliseconds())
 	if snapshot.Metadata.GetIndex() > 0 {
 		if state, err = decodeState(snapshot); err != nil {
 			return err
