--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -92,10 +92,10 @@
 		if err != nil {
 			return ruleset.Answer{}, err
 		}
-		ask := accord.OperatorRequest{Cluster: cluster, ChangeRequest: ruleset.ChangeRequest{Key: rand.Text(), BaseVersion: s.Head.Version, Author: o.author, Reason: o.reason,
+		request := accord.OperatorRequest{Cluster: cluster, ChangeRequest: ruleset.ChangeRequest{Key: rand.Text(), BaseVersion: s.Head.Version, Author: o.author, Reason: o.reason,
 			Forced: o.force, Changes: changes}}
 		var a ruleset.Answer
-		if err := c.Do(ctx, accord.PathChange, ask, &a); err != nil {
+		if err := c.Do(ctx, accord.PathChange, request, &a); err != nil {
 			return a, failure{err}
 		}
 		if a.Refused == ruleset.RefusedStale { // another change was accepted first
--- a/cmd/merlinarch/ledger.go
+++ b/cmd/merlinarch/ledger.go
@@ -67,12 +67,12 @@
 			}
 			var failures error
 			for _, path := range args {
-				correction, err := ledger.Verify(path, o)
+				entries, err := ledger.Verify(path, o)
 				if err != nil {
 					failures = errors.Join(failures, err)
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: good, %d entries\n", path, correction)
+				fmt.Fprintf(c.OutOrStdout(), "%s: good, %d entries\n", path, entries)
 			}
 			if failures != nil {
 				return failure{failures}
--- a/internal/accord/follower.go
+++ b/internal/accord/follower.go
@@ -46,7 +46,7 @@
 type RulesSink interface {
 	// UpdateRules returns once the decisions work with this version and this permission. An error means that the
 	// decisions have stopped for good.
-	UpdateRules(ctx context.Context, v *ruleset.View, c lease.Permission) error
+	UpdateRules(ctx context.Context, v *ruleset.View, permission lease.Permission) error
 }
 
 // Fleet provides what the dispatcher knows of the servers. Beats carry it to the registrars, whose decisions depend on it.
@@ -74,7 +74,7 @@
 	opts           Options
 	sink           RulesSink
 	fleet          Fleet
-	count          *metrics.Registry
+	counters       *metrics.Registry
 	log            *zap.Logger
 	client         *http.Client
 	registrarNames []string // sorted
@@ -95,11 +95,11 @@
 }
 
 // NewFollower returns a Follower that does nothing until Run is called.
-func NewFollower(o Options, sink RulesSink, fleet Fleet, count *metrics.Registry, log *zap.Logger) *Follower {
+func NewFollower(o Options, sink RulesSink, fleet Fleet, counters *metrics.Registry, log *zap.Logger) *Follower {
 	if o.KnownKinds == nil {
 		o.KnownKinds = ruleset.SupportedKinds
 	}
-	f := &Follower{Gate: NewGate(o.Mode, o.Clock, count), opts: o, sink: sink, fleet: fleet, count: count, log: log,
+	f := &Follower{Gate: NewGate(o.Mode, o.Clock, counters), opts: o, sink: sink, fleet: fleet, counters: counters, log: log,
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2,
 			IdleConnTimeout: 10 * o.Terms.Beat}},
 		registrarNames: slices.Sorted(maps.Keys(o.Registrars)), token: rand.Text(), documents: make(chan ruleset.Document, 1),
@@ -134,7 +134,7 @@
 			f.logProblem("")
 		} else if ctx.Err() == nil {
 			pause, _ = pacer.RecordFailure()
-			f.count.Inc("accord.beats_failed")
+			f.counters.Inc("accord.beats_failed")
 			f.logProblem(err.Error())
 		}
 		f.waitForNextBeat(ctx, pause)
@@ -158,7 +158,7 @@
 		case e := <-f.finished:
 			f.tasks[e.Fence] = &e
 		case d := <-f.documents:
-			f.count.Inc("accord.news")
+			f.counters.Inc("accord.news")
 			if f.applyDocument(ctx, d) == nil && f.incarnation != 0 {
 				leaseEnd.Stop()
 				return
@@ -190,7 +190,7 @@
 		return
 	}
 	f.permission = permission
-	f.count.Inc([...]string{"accord.lease_begun", "accord.serving_stale", "accord.holding"}[permission])
+	f.counters.Inc([...]string{"accord.lease_begun", "accord.serving_stale", "accord.holding"}[permission])
 	f.log.Info("permission to send changed", zap.String("now", [...]string{"full", "stale", "nothing"}[permission]), zap.Uint64("version", f.Gate.HeldVersion()))
 	if f.view != nil {
 		f.sink.UpdateRules(ctx, f.view, permission)
@@ -208,16 +208,16 @@
 func (f *Follower) applyDocument(ctx context.Context, d ruleset.Document) error {
 	switch {
 	case !d.HasValidHash():
-		f.count.Inc("accord.spoilt")
+		f.counters.Inc("accord.spoilt")
 		return errHashMismatch
 	case f.view != nil && d.Head.Version == f.view.Version() && d.Head.Hash != f.view.Document.Head.Hash:
-		f.count.Inc("accord.two_histories")
+		f.counters.Inc("accord.two_histories")
 		return errConflictingHistories
 	case f.view != nil && d.Head.Version <= f.view.Version():
 		return nil
 	}
 	if f.unknownKinds = ruleset.UnsupportedKinds(d, f.opts.KnownKinds); len(f.unknownKinds) > 0 {
-		f.count.Inc("accord.not_understood")
+		f.counters.Inc("accord.not_understood")
 		return fmt.Errorf("%w: %v", errUnknownKinds, f.unknownKinds)
 	}
 	view := ruleset.NewView(d)
@@ -230,7 +230,7 @@
 		return err
 	}
 	f.view = view
-	f.count.Inc("accord.versions_taken")
+	f.counters.Inc("accord.versions_taken")
 	return nil
 }
 
@@ -268,7 +268,7 @@
 		if errors.As(err, &problem) && problem.Code == CodeStaleIncarnation {
 			f.incarnation, f.token = 0, rand.Text()
 			f.Gate.Revoke()
-			f.count.Inc("accord.lives_replaced")
+			f.counters.Inc("accord.lives_replaced")
 		}
 		return false, err
 	}
@@ -281,7 +281,7 @@
 	if !f.Gate.Grant(sentAt, granted.Version, time.Duration(granted.LeaseNs)) {
 		return false, fmt.Errorf("the lease is for version %d, but version %d is held", granted.Version, f.Gate.HeldVersion())
 	}
-	f.count.Inc("accord.beats")
+	f.counters.Inc("accord.beats")
 	f.startTasks(ctx, granted.Tasks)
 	return granted.Document != nil, nil
 }
@@ -296,7 +296,7 @@
 			continue
 		}
 		f.tasks[t.Fence] = nil
-		f.count.Inc("accord.tasks")
+		f.counters.Inc("accord.tasks")
 		f.running.Go(func() {
 			done := f.Sender != nil && f.Sender.Send(ctx, t)
 			select {
--- a/internal/accord/gate.go
+++ b/internal/accord/gate.go
@@ -22,9 +22,9 @@
 // Gate admits or refuses each attempt right before its bytes are sent, by the rules and the lease. Its methods are safe
 // for use by several goroutines.
 type Gate struct {
-	clock  Clock
-	count  *metrics.Registry
-	closed atomic.Bool // nothing may be sent, as of the last refreshPermission
+	clock    Clock
+	counters *metrics.Registry
+	closed   atomic.Bool // nothing may be sent, as of the last refreshPermission
 
 	mu      sync.Mutex
 	holder  lease.Holder
@@ -34,8 +34,8 @@
 }
 
 // NewGate returns a gate that refuses every attempt until a version is applied and a lease granted.
-func NewGate(mode lease.Mode, clock Clock, count *metrics.Registry) *Gate {
-	g := &Gate{clock: clock, count: count, holder: lease.Holder{Mode: mode}, permits: map[*Permit]struct{}{}}
+func NewGate(mode lease.Mode, clock Clock, counters *metrics.Registry) *Gate {
+	g := &Gate{clock: clock, counters: counters, holder: lease.Holder{Mode: mode}, permits: map[*Permit]struct{}{}}
 	g.closed.Store(true)
 	return g
 }
@@ -68,15 +68,15 @@
 // before sending, because the process may have been paused since the attempt was decided or since it got its connection.
 func (g *Gate) check(host string, startedUnixMs int64, dispatch string) error {
 	if permission := g.refreshPermission(); permission == lease.None || dispatch != "" && permission != lease.Full {
-		g.count.Inc("accord.held_back")
+		g.counters.Inc("accord.held_back")
 		return ErrNoLease
 	}
 	if dispatch != "" && !g.view.IsPlanned(dispatch) {
-		g.count.Inc("accord.withdrawn")
+		g.counters.Inc("accord.withdrawn")
 		return ErrWithdrawn
 	}
 	if !g.view.AllowsNewWork(host, startedUnixMs) {
-		g.count.Inc("accord.cordoned")
+		g.counters.Inc("accord.cordoned")
 		return ErrCordoned
 	}
 	return nil
@@ -128,7 +128,7 @@
 	g.drained = done
 	for p := range g.permits {
 		if !view.AllowsNewWork(p.host, p.startedUnixMs) || p.dispatch != "" && !view.IsPlanned(p.dispatch) {
-			g.count.Inc("accord.broken_off")
+			g.counters.Inc("accord.broken_off")
 			p.revoked = true
 			p.abort()
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -105,9 +105,9 @@
 	if v.Type() != fastjson.TypeObject {
 		return Config{}, fmt.Errorf("a JSON %s, not an object", v.Type())
 	}
-	stringField := func(name string, path ...string) string {
-		if name != "" && env(name) != "" {
-			return env(name)
+	stringField := func(variable string, path ...string) string {
+		if variable != "" && env(variable) != "" {
+			return env(variable)
 		}
 		return string(v.GetStringBytes(path...))
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -89,11 +89,11 @@
 }
 
 // deliver passes a list to the watcher, unless a later address has already delivered its own.
-func (a *addressWatch) deliver(l List, place *reconnect.Endpoint) {
+func (a *addressWatch) deliver(l List, endpoint *reconnect.Endpoint) {
 	a.version, a.hasList = l.Version, true
 	a.watcher.mu.Lock()
 	defer a.watcher.mu.Unlock()
-	if place.RecordMessage() {
+	if endpoint.RecordMessage() {
 		a.watcher.deliver(l)
 	}
 }
@@ -102,16 +102,16 @@
 var errUnreadable = errors.New("unreadable line")
 
 // watch requests the full list if none has been read, then keeps one watch open until it breaks.
-func (a *addressWatch) watch(ctx context.Context, place *reconnect.Endpoint) error {
+func (a *addressWatch) watch(ctx context.Context, endpoint *reconnect.Endpoint) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	defer context.AfterFunc(place.Replaced(), stop)()
+	defer context.AfterFunc(endpoint.Replaced(), stop)()
 	if !a.hasList {
-		if err := a.readLists(ctx, place, ""); err != nil {
+		if err := a.readLists(ctx, endpoint, ""); err != nil {
 			return err
 		}
 	}
-	err := a.readLists(ctx, place, "?"+queryWatch+"=1&"+queryAfter+"="+strconv.FormatUint(a.version, 10))
+	err := a.readLists(ctx, endpoint, "?"+queryWatch+"=1&"+queryAfter+"="+strconv.FormatUint(a.version, 10))
 	if errors.Is(err, errUnreadable) { // its change is lost, so the next session requests the full list
 		a.hasList = false
 	}
@@ -120,13 +120,13 @@
 
 // readLists reads the lists of one response until it ends. A connection to a machine that has lost its network stays
 // open and silent, so a connection without heartbeats is treated as broken.
-func (a *addressWatch) readLists(ctx context.Context, place *reconnect.Endpoint, query string) error {
+func (a *addressWatch) readLists(ctx context.Context, endpoint *reconnect.Endpoint, query string) error {
 	w := a.watcher
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	silenceTimer := time.AfterFunc(w.limits.DiscoverySilenceTimeout, stop)
 	defer silenceTimer.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+place.Addr+pathList+query, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+endpoint.Addr+pathList+query, nil)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
@@ -164,7 +164,7 @@
 			w.counters.Inc("discovery.unreadable")
 			return fmt.Errorf("discovery: %w: %.80q: %w", errUnreadable, text, err)
 		}
-		a.deliver(l, place)
+		a.deliver(l, endpoint)
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("discovery: %w", err)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -72,7 +72,7 @@
 }
 
 // Servers returns the list of servers, sorted by name, and a checksum that changes with it.
-func (f *Fleet) Servers() (servers []cordon.Server, sum string) {
+func (f *Fleet) Servers() (servers []cordon.Server, digest string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -138,11 +138,11 @@
 
 // Gateway is the loop that owns the decision module.
 type Gateway struct {
-	limits  config.Limits
-	outputs Outputs
-	clock   Clock
-	count   *metrics.Registry
-	log     *zap.Logger
+	limits   config.Limits
+	outputs  Outputs
+	clock    Clock
+	counters *metrics.Registry
+	log      *zap.Logger
 
 	events       chan event
 	done         chan struct{}
@@ -158,8 +158,8 @@
 }
 
 // New returns a gateway for a decision module; Run starts it.
-func New(router *logic.Router, limits config.Limits, clock Clock, count *metrics.Registry, log *zap.Logger) *Gateway {
-	g := &Gateway{limits: limits, clock: clock, count: count, log: log,
+func New(router *logic.Router, limits config.Limits, clock Clock, counters *metrics.Registry, log *zap.Logger) *Gateway {
+	g := &Gateway{limits: limits, clock: clock, counters: counters, log: log,
 		events: make(chan event, limits.MaxEvents), done: make(chan struct{}), calls: map[*exchange.Exchange]*call{}}
 	g.driver, g.router = driver.New(router, effects{g}), router
 	return g
@@ -216,7 +216,7 @@
 // notify posts an event that nobody needs once the loop has ended.
 func (g *Gateway) notify(e any) {
 	if g.post(e) != nil {
-		g.count.Inc("events.after_end")
+		g.counters.Inc("events.after_end")
 	}
 }
 
@@ -235,7 +235,7 @@
 		}
 		select {
 		case e := <-g.events:
-			g.count.RecordMax("loop.worst_wait_us", time.Since(e.postedAt))
+			g.counters.RecordMax("loop.worst_wait_us", time.Since(e.postedAt))
 			g.handle(e.payload)
 		case <-wake.C:
 			armedFor = 0
@@ -255,9 +255,9 @@
 		if !ok {
 			return
 		}
-		g.count.RecordMax("loop.worst_lateness_us", now-t.at)
+		g.counters.RecordMax("loop.worst_lateness_us", now-t.at)
 		if now-t.at > 100*time.Millisecond {
-			g.count.Inc("loop.late_ticks")
+			g.counters.Inc("loop.late_ticks")
 		}
 		g.feed(logic.TimerFired{Token: t.token})
 	}
@@ -318,12 +318,12 @@
 	c := g.driver.EndAttempt(e.id, e.attempt)
 	if c == nil {
 		exchange.Answer{FreeBody: e.result.FreeBody}.Release()
-		g.count.Inc("loop.stray_outcomes")
+		g.counters.Inc("loop.stray_outcomes")
 		return
 	}
 	ex := c.Request.ex
 	c.Request.cancel = nil
-	g.count.Inc("attempts." + outcomeName(e.result.Outcome))
+	g.counters.Inc("attempts." + outcomeName(e.result.Outcome))
 	requestOver := e.result.Outcome == logic.OK || e.result.NoLease || c.Finished() || ex.Ended()
 	if g.rules != nil {
 		g.rules.fleet.recordResult(c.Server, e.result)
@@ -375,7 +375,7 @@
 	if c.SendBy > 0 {
 		sendBy = g.clock.Time(c.SendBy)
 	}
-	g.count.Inc("attempts.sent")
+	g.counters.Inc("attempts.sent")
 	c.Request.cancel = g.outputs.Servers.Start(Attempt{Exchange: c.Request.ex, Server: c.Server, DecidedAt: now, Deadline: deadline, SendBy: sendBy, ForwardOnly: c.ForwardOnly,
 		Report: func(r Result) { g.notify(attemptEnded{id, attempt, r}) }})
 }
@@ -416,9 +416,9 @@
 	case logic.Log:
 		g.log.Info(a.Text)
 	default:
-		g.count.Inc("loop.unknown_actions")
+		g.counters.Inc("loop.unknown_actions")
 	}
 }
 
 // ReportStray counts an action for a call that does not exist or is not in a state for it.
-func (g effects) ReportStray(logic.Action) { g.count.Inc("loop.stray_actions") }
+func (g effects) ReportStray(logic.Action) { g.counters.Inc("loop.stray_actions") }
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -127,9 +127,9 @@
 	var changed []Host
 	event := logic.ServersListed{}
 	for id, h := range r.hosts {
-		if now := r.applyToHost(h, g.clock); now != before[id] {
-			changed = append(changed, now)
-			event.Servers = append(event.Servers, now.Server)
+		if updated := r.applyToHost(h, g.clock); updated != before[id] {
+			changed = append(changed, updated)
+			event.Servers = append(event.Servers, updated.Server)
 		}
 	}
 	if len(changed) > 0 {
@@ -137,7 +137,7 @@
 		g.feed(event)
 	}
 	if r.lastStatus != nil && r.lastStatus.Phase == logic.OnTrial {
-		if now := r.view.RestrictRelease(*r.lastStatus, r.permission); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
+		if restricted := r.view.RestrictRelease(*r.lastStatus, r.permission); restricted.Cap != g.lastRelease.Cap || restricted.Build != g.lastRelease.Build {
 			status := *r.lastStatus
 			status.StageAge += g.clock.Now() - r.lastStatusAt
 			g.applyRelease(status)
--- a/internal/ledger/counter.go
+++ b/internal/ledger/counter.go
@@ -18,15 +18,15 @@
 	ledger        *Ledger
 	strict        bool
 	worthByClass  map[string]int64 // in millionths
-	count         *metrics.Registry
+	counters      *metrics.Registry
 	log           *zap.Logger
 	failureLogged atomic.Bool // the present failure of the disk has been logged
 }
 
 // NewCounter returns a counter. While the disk fails, a strict counter refuses new requests; any other lets answers go out
 // uncounted, which is counted and logged.
-func NewCounter(l *Ledger, s logic.Settings, strict bool, count *metrics.Registry, log *zap.Logger) *Counter {
-	c := &Counter{ledger: l, strict: strict, worthByClass: map[string]int64{}, count: count, log: log}
+func NewCounter(l *Ledger, s logic.Settings, strict bool, counters *metrics.Registry, log *zap.Logger) *Counter {
+	c := &Counter{ledger: l, strict: strict, worthByClass: map[string]int64{}, counters: counters, log: log}
 	for _, class := range s.Classes {
 		c.worthByClass[class.Name] = int64(math.Round(class.Worth * 1e6))
 	}
@@ -45,13 +45,13 @@
 	}
 	serial, err := c.ledger.Count(ctx, u)
 	if err == nil {
-		c.count.Inc("ledger.counted")
+		c.counters.Inc("ledger.counted")
 		if c.failureLogged.Swap(false) {
 			c.log.Info("the ledger can be written again")
 		}
 		return func() { c.ledger.Confirm(serial) }
 	}
-	c.count.Inc("ledger.uncounted")
+	c.counters.Inc("ledger.uncounted")
 	if !c.failureLogged.Swap(true) {
 		c.log.Error("answers go out uncounted", zap.Error(err), zap.String("tenant", f.Tenant), zap.String("class", f.Class))
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -267,16 +267,16 @@
 }
 
 // submit passes a request to the writer and waits for its result.
-func (l *Ledger) submit(ctx context.Context, it writeRequest) error {
+func (l *Ledger) submit(ctx context.Context, request writeRequest) error {
 	select {
-	case l.queue <- it:
+	case l.queue <- request:
 	case <-l.done:
 		return ErrNotWritable
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case err := <-it.result:
+	case err := <-request.result:
 		return err
 	case <-l.done:
 		return ErrNotWritable
@@ -301,8 +301,8 @@
 	defer probe.Stop()
 	for {
 		select {
-		case it := <-l.queue:
-			l.writeGroup(it)
+		case request := <-l.queue:
+			l.writeGroup(request)
 		case <-probe.C: // without new requests, only this trial write finds out that the disk works again
 			if l.WriteError() != nil {
 				_ = l.write(l.addUnwritten(Record{})) // a failure is recorded for WriteError
@@ -310,8 +310,8 @@
 		case <-ctx.Done():
 			for { // write what was submitted before Close
 				select {
-				case it := <-l.queue:
-					l.writeGroup(it)
+				case request := <-l.queue:
+					l.writeGroup(request)
 				default:
 					return
 				}
@@ -330,21 +330,21 @@
 	var r Record
 	var waiting []chan error
 	var note *writeRequest
-	for it, more := first, true; more; {
+	for request, more := first, true; more; {
 		switch {
-		case it.note != nil:
-			note, more = &it, false
+		case request.note != nil:
+			note, more = &request, false
 			continue
-		case it.use != nil:
-			r.Uses, waiting = append(r.Uses, *it.use), append(waiting, it.result)
+		case request.use != nil:
+			r.Uses, waiting = append(r.Uses, *request.use), append(waiting, request.result)
 		default:
-			r.Confirmed = append(r.Confirmed, it.confirmedSerial)
+			r.Confirmed = append(r.Confirmed, request.confirmedSerial)
 		}
 		if more = len(r.Uses)+len(r.Confirmed) < l.opts.Limits.MaxGroupSize; !more {
 			continue
 		}
 		select {
-		case it = <-l.queue:
+		case request = <-l.queue:
 		default:
 			more = false
 		}
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -54,7 +54,7 @@
 var errCorrupt = errors.New("the chain is broken")
 
 // decode decodes a record and checks its sequence number and its hash of the previous record.
-func decode(data []byte, sequence uint64, before [32]byte) (Record, error) {
+func decode(data []byte, sequence uint64, previousHash [32]byte) (Record, error) {
 	var r Record
 	if err := cbor.Unmarshal(data, &r); err != nil {
 		return r, fmt.Errorf("entry %d: %w: %w", sequence, errCorrupt, err)
@@ -62,7 +62,7 @@
 	switch {
 	case r.Sequence != sequence:
 		return r, fmt.Errorf("entry %d: %w: its own sequence number is %d", sequence, errCorrupt, r.Sequence)
-	case r.PreviousHash != before:
+	case r.PreviousHash != previousHash:
 		return r, fmt.Errorf("entry %d: %w: the previous entry does not match its hash", sequence, errCorrupt)
 	}
 	return r, nil
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -34,10 +34,10 @@
 
 // watchConn is a connection to the platform with the calls that await an answer on it.
 type watchConn struct {
-	place   *reconnect.Endpoint
-	conn    net.Conn
-	pending []*call // written and not yet answered, in order
-	closing bool    // no further calls are written; the connection is closed once pending is empty
+	endpoint *reconnect.Endpoint
+	conn     net.Conn
+	pending  []*call // written and not yet answered, in order
+	closing  bool    // no further calls are written; the connection is closed once pending is empty
 }
 
 // Client watches releases and casts votes at the platform's present address.
@@ -92,17 +92,17 @@
 
 // runSession keeps one connection open until it breaks, or until a later address has delivered something and all calls on
 // this connection are answered.
-func (c *Client) runSession(ctx context.Context, place *reconnect.Endpoint) error {
+func (c *Client) runSession(ctx context.Context, endpoint *reconnect.Endpoint) error {
 	dialer := net.Dialer{Timeout: c.limits.ControlDialTimeout}
-	conn, err := dialer.DialContext(ctx, "tcp", place.Addr)
+	conn, err := dialer.DialContext(ctx, "tcp", endpoint.Addr)
 	if err != nil {
 		return fmt.Errorf("platform: %w", err)
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	wc := &watchConn{place: place, conn: conn}
+	wc := &watchConn{endpoint: endpoint, conn: conn}
 	c.mu.Lock()
 	if err = c.writeCall(wc, callWatch+"\r\n", false); err == nil {
-		if n := len(c.conns); place.IsNewest() {
+		if n := len(c.conns); endpoint.IsNewest() {
 			c.conns = append(c.conns, wc)
 		} else { // the address changed during the dial: votes go to the newest address
 			c.conns = slices.Insert(c.conns, max(0, n-1), wc)
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	defer context.AfterFunc(place.Replaced(), func() { c.closeWhenIdle(wc) })()
+	defer context.AfterFunc(endpoint.Replaced(), func() { c.closeWhenIdle(wc) })()
 	r := bufio.NewReaderSize(conn, c.limits.MaxPlatformLine)
 	for {
 		// A connection to a platform that has lost its network stays open and silent, so a connection
@@ -162,13 +162,13 @@
 		return err
 	}
 	wc.pending = wc.pending[1:]
-	delivered := !first.isVote || first.done
+	skipDelivery := !first.isVote || first.done
 	first.done = true
 	if wc.closing && len(wc.pending) == 0 {
 		wc.conn.Close() // no calls are pending
 	}
 	c.mu.Unlock()
-	if !delivered {
+	if !skipDelivery {
 		first.timeout.Stop()
 		c.counters.Inc("platform.replies_" + replyNames[e.Reply])
 		c.deliver(wc, e)
@@ -182,7 +182,7 @@
 func (c *Client) deliver(wc *watchConn, e logic.ReleaseStatus) {
 	c.deliveryMu.Lock()
 	defer c.deliveryMu.Unlock()
-	isCurrent, hasStatus := wc.place.RecordMessage(), !e.IsReply || e.Reply == logic.VoteCounted
+	isCurrent, hasStatus := wc.endpoint.RecordMessage(), !e.IsReply || e.Reply == logic.VoteCounted
 	if hasStatus && !isCurrent {
 		if !e.IsReply {
 			return
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -16,27 +16,27 @@
 )
 
 // Session runs one connection to a peer until it breaks or ctx ends.
-type Session func(ctx context.Context, at *Endpoint) error
+type Session func(ctx context.Context, endpoint *Endpoint) error
 
 // Follower keeps the connection to one peer, at its present address.
 type Follower struct {
-	name   string // of the peer, in the log and in counters
-	addr   string // the first address
-	policy backoff.Policy
-	limits config.Limits
-	onLost func() // called on the first of consecutive failures
-	count  *metrics.Registry
-	log    *zap.Logger
-	moves  chan string
+	name     string // of the peer, in the log and in counters
+	addr     string // the first address
+	policy   backoff.Policy
+	limits   config.Limits
+	onLost   func() // called on the first of consecutive failures
+	counters *metrics.Registry
+	log      *zap.Logger
+	moves    chan string
 
 	mu        sync.Mutex
 	endpoints []*Endpoint // the newest last; earlier ones until they have ended
 }
 
 // New returns a Follower that does nothing until Run is called.
-func New(name, addr string, policy backoff.Policy, limits config.Limits, onLost func(), count *metrics.Registry,
+func New(name, addr string, policy backoff.Policy, limits config.Limits, onLost func(), counters *metrics.Registry,
 	log *zap.Logger) *Follower {
-	return &Follower{name: name, addr: addr, policy: policy, limits: limits, onLost: onLost, count: count, log: log,
+	return &Follower{name: name, addr: addr, policy: policy, limits: limits, onLost: onLost, counters: counters, log: log,
 		moves: make(chan string, 1)}
 }
 
@@ -152,7 +152,7 @@
 		if ctx.Err() != nil || !endpoint.IsNewest() {
 			return
 		}
-		f.count.Inc(f.name + ".broken")
+		f.counters.Inc(f.name + ".broken")
 		pause, first := endpoint.recordFailure()
 		if first {
 			f.log.Warn(f.name+" lost, continuing with its last data", zap.Error(err))
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -119,9 +119,9 @@
 	tick struct{}
 	// sendResult says that a snapshot was sent or failed, or that a registrar is unreachable.
 	sendResult struct {
-		to       uint64
-		snapshot bool
-		ok       bool
+		to         uint64
+		isSnapshot bool
+		ok         bool
 	}
 	// readRequest is a linearizable read: its answer needs proof that this registrar leads, and the state as of then.
 	readRequest struct {
@@ -749,9 +749,9 @@
 // reportSend passes the result of a send on to the Raft library.
 func (n *node) reportSend(m sendResult) {
 	switch {
-	case m.snapshot && m.ok:
+	case m.isSnapshot && m.ok:
 		n.rawNode.ReportSnapshot(m.to, raft.SnapshotFinish)
-	case m.snapshot:
+	case m.isSnapshot:
 		n.rawNode.ReportSnapshot(m.to, raft.SnapshotFailure)
 	default:
 		n.rawNode.ReportUnreachable(m.to)
--- a/internal/registrar/peers.go
+++ b/internal/registrar/peers.go
@@ -127,7 +127,7 @@
 	default:
 		p.counters.GetOrCreateCounter(`registrar_messages_lost_total{why="full"}`).Inc()
 		if m.GetType() == pb.MsgSnap {
-			p.nodeInbox.put(sendResult{to: q.id, snapshot: true})
+			p.nodeInbox.put(sendResult{to: q.id, isSnapshot: true})
 		}
 	}
 }
@@ -151,22 +151,22 @@
 			}
 		}
 		batch := raftBatch{Cluster: p.opts.Cluster, From: p.id.Name, FromID: p.id.ID, ToID: q.id, Boots: p.id.Boots}
-		snapshot := false
+		hasSnapshot := false
 		for _, m := range messages {
 			encoded, err := proto.Marshal(m)
 			if err != nil {
 				continue
 			}
 			batch.Messages = append(batch.Messages, encoded)
-			snapshot = snapshot || m.GetType() == pb.MsgSnap
+			hasSnapshot = hasSnapshot || m.GetType() == pb.MsgSnap
 		}
 		timeout := p.opts.Terms.Length / 3
-		if snapshot {
+		if hasSnapshot {
 			timeout = 10 * p.opts.Terms.Length
 		}
 		err := p.post(ctx, q.addr, pathRaft, batch, nil, timeout)
-		if snapshot {
-			p.nodeInbox.put(sendResult{to: q.id, snapshot: true, ok: err == nil})
+		if hasSnapshot {
+			p.nodeInbox.put(sendResult{to: q.id, isSnapshot: true, ok: err == nil})
 		}
 		if err != nil && ctx.Err() == nil {
 			p.counters.GetOrCreateCounter(`registrar_messages_lost_total{why="unreachable"}`).Inc()
--- a/internal/servers/attempt.go
+++ b/internal/servers/attempt.go
@@ -76,16 +76,16 @@
 // last byte: if the connection breaks before that is written, the request cannot have run; after it, it may have run.
 // dispatchID names the planned work that the request is for; it is empty for a client's request and for a probe.
 func (p *Pool) execute(ctx context.Context, h *host, c *conn, text []byte, dispatchID string) gateway.Result {
-	var pass *accord.Permit
+	var permit *accord.Permit
 	if p.Gate != nil {
 		var refused error
 		entry := p.currentEntry(h)
-		if pass, refused = p.Gate.Begin(entry.Name, entry.StartedUnixMs, dispatchID, c.abort); refused != nil {
+		if permit, refused = p.Gate.Begin(entry.Name, entry.StartedUnixMs, dispatchID, c.abort); refused != nil {
 			p.putIdle(h, c)
 			return gateway.Result{Outcome: logic.NotSent, NoLease: errors.Is(refused, accord.ErrNoLease)}
 		}
 	}
-	r, written, err := c.roundTrip(ctx, text, pass)
+	r, written, err := c.roundTrip(ctx, text, permit)
 	if err == nil && r.reusable {
 		p.putIdle(h, c)
 	} else {
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -61,13 +61,13 @@
 
 // roundTrip writes a request and reads its answer, until ctx ends. It reports in written whether the request's last
 // byte was written. If pass is not nil, bytes go out only while the pass allows it.
-func (c *conn) roundTrip(ctx context.Context, text []byte, pass *accord.Permit) (r response, written bool, err error) {
+func (c *conn) roundTrip(ctx context.Context, text []byte, permit *accord.Permit) (r response, written bool, err error) {
 	stopAbort := context.AfterFunc(ctx, c.abort)
-	if pass == nil {
+	if permit == nil {
 		n, e := c.raw.Write(text)
 		written, err = n == len(text), e
 	} else {
-		written, err = c.writeChecked(text, pass)
+		written, err = c.writeChecked(text, permit)
 	}
 	if err == nil && written {
 		r, err = c.readFinal()
@@ -84,17 +84,17 @@
 // writeChecked writes a request in pieces and checks before each one that the agreed rules and the lease still allow
 // it. The process may be suspended at any point in here, and a host starts to work on a request when its last byte
 // arrives.
-func (c *conn) writeChecked(text []byte, pass *accord.Permit) (written bool, err error) {
-	defer pass.End()
+func (c *conn) writeChecked(text []byte, permit *accord.Permit) (written bool, err error) {
+	defer permit.End()
 	for rest := text; len(rest) > 0; {
 		if len(rest) < len(text) { // Gate.Begin has just checked the first piece
-			if err := pass.Recheck(); err != nil {
+			if err := permit.Recheck(); err != nil {
 				return false, err
 			}
 		}
 		n, err := c.raw.Write(rest[:min(checkedWriteSize, len(rest))])
 		if err != nil {
-			if forbidden := pass.Recheck(); forbidden != nil { // the gate aborted the write: not a failure of the host
+			if forbidden := permit.Recheck(); forbidden != nil { // the gate aborted the write: not a failure of the host
 				err = forbidden
 			}
 			return false, err
--- a/internal/servers/response.go
+++ b/internal/servers/response.go
@@ -89,11 +89,11 @@
 
 // readLine reads one line and returns it without its line end. It subtracts the bytes that it reads from headLeft, which
 // must not become negative.
-func readLine(r *bufio.Reader, headLeft *int) (string, error) {
+func readLine(r *bufio.Reader, bytesLeft *int) (string, error) {
 	var text []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if *headLeft -= len(part); *headLeft < 0 {
+		if *bytesLeft -= len(part); *bytesLeft < 0 {
 			return "", errTooLarge
 		}
 		text = append(text, part...)
