--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -59,7 +59,8 @@
 	c.MarkFlagRequired("reason")
 }
 
-// connect reads the settings and creates a client. The context ends after the timeout or on SIGINT or SIGTERM.
+// connect reads the settings and returns a context with the function that releases it, a client of the registrars and the
+// name of the cluster. The context ends after the timeout or on SIGINT or SIGTERM.
 func (o *clusterCommand) connect() (context.Context, func(), *accord.Client, string, error) {
 	if o.changesRules && o.author == "" {
 		return nil, nil, nil, "", errors.New("--author: expected the name of who makes the change, as USER is not set")
--- a/internal/accord/follower.go
+++ b/internal/accord/follower.go
@@ -34,7 +34,7 @@
 	Terms              lease.Terms
 	Clock              Clock
 	Seed               uint64
-	KnownKinds         []string      // kinds of rules that are supported; nil stands for all that this program has
+	KnownKinds         []string      // kinds of rules that are supported; nil stands for all that this program supports
 	ClockStep          time.Duration // added to the wall clock, for tests
 	SendServerEvidence bool          // each beat reports what servers answered
 }
@@ -80,8 +80,8 @@
 	registrarNames []string // sorted
 	token          string   // identifies this incarnation, so that a repeated enrolment gets the same number
 
-	documents chan ruleset.Document
-	finished  chan statemachine.Outcome
+	documents chan ruleset.Document            // newer versions that watch has received
+	finished  chan statemachine.Outcome        // of tasks that have ended
 	tasks     map[uint64]*statemachine.Outcome // outcomes by fencing token; nil while the task runs
 	running   sync.WaitGroup
 
@@ -308,8 +308,8 @@
 	maps.DeleteFunc(f.tasks, func(fence uint64, e *statemachine.Outcome) bool { return e != nil && !listed[fence] })
 }
 
-// call asks the registrar that it takes for the leader. It turns to another one if that one does not lead or does not
-// answer as a leader should.
+// call sends a request to the registrar that is assumed to be the leader. If that one does not lead or does not answer as a
+// leader should, call selects another registrar for the next request.
 func (f *Follower) call(ctx context.Context, path string, in, out any) error {
 	ctx, stop := context.WithTimeout(ctx, f.opts.Terms.Beat)
 	defer stop()
--- a/internal/clients/conns.go
+++ b/internal/clients/conns.go
@@ -25,7 +25,7 @@
 
 	mu              sync.Mutex
 	total           int           // connections whose descriptor is not yet closed
-	pendingCloses   int           // answers still to close their connections for new ones that wait for a descriptor
+	pendingCloses   int           // how many of the next answers close their connections, because a new one waits for a descriptor
 	evictingCount   int           // connections marked for eviction that have not closed yet; part of total
 	awaitingHead    *list.List    // of *conn: no whole request head has been read yet; oldest first
 	idle            *list.List    // of *conn: the last answer is written and nothing was read since; longest idle first
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	"merlinarch/logic"
 )
 
-// Names of the environment variables. Where one is not set, the file's value holds.
+// Names of the environment variables. If one is not set, the file's value applies.
 const (
 	EnvFile      = "LB_CONFIG"
 	envName      = "LB_NAME"
@@ -41,7 +41,7 @@
 	fixedFields   map[string]string // JSON text of the file's fields that a reload does not change
 }
 
-// fixedFieldNames are the fields that hold until the process ends. The other fields are the addresses, which Reload may
+// fixedFieldNames are the fields whose values apply until the process ends. The other fields are the addresses, which Reload may
 // change, and the state at the start.
 var fixedFieldNames = []string{"name", "listen", "seed", "limits", "peer_listen", "peers", "peers_all", "settings"}
 
@@ -68,8 +68,8 @@
 	return c, nil
 }
 
-// Reload reads the file again. Only the addresses of discovery and the platform may change, each if the file has another
-// than before; ignored names the other fields that differ. A file that is invalid in any part changes nothing: half a
+// Reload reads the file again. Only the addresses of discovery and the platform may change, each only if the file now has
+// a different one; ignored names the other fields that differ. A file that is invalid in any part changes nothing: half a
 // file, or one for another router, could otherwise cut this router off from both.
 func (c Config) Reload() (next Config, ignored []string, err error) {
 	loaded, err := Load(c.path, c.env)
@@ -84,7 +84,7 @@
 	case loaded.fileAddresses.discovery == "" && c.fileAddresses.discovery != "":
 		return c, nil, fmt.Errorf("configuration %s: discovery is missing", c.path)
 	}
-	if loaded.fileAddresses.discovery != c.fileAddresses.discovery { // otherwise the environment's address still holds
+	if loaded.fileAddresses.discovery != c.fileAddresses.discovery { // otherwise the environment's address still applies
 		next.Discovery = loaded.fileAddresses.discovery
 	}
 	next.Platform = loaded.fileAddresses.platform
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -27,8 +27,8 @@
 	MaxHeld             int // requests beyond this are refused by the node itself and never reach the module
 	ClientConns         int // connections from clients
 	ServerConns         int // connections to servers
-	ClosesPerAcceptWait int // while a new connection waits for room: answers that close their connections per wait
-	SpareClientConns    int // connections from clients kept free: with fewer free, answers close theirs
+	ClosesPerAcceptWait int // answers that close their connections each time that a new connection waits for a descriptor
+	SpareClientConns    int // connections from clients kept free: with fewer free, answers may close theirs
 	MaxOutgoing         int // messages and votes that may wait to be written
 	MaxIdlePerServer    int // idle connections kept to one server
 
@@ -39,28 +39,28 @@
 	OwnAnswerMargin         time.Duration // the node answers by itself this long before the client's deadline; see Margins
 	RequestReadTimeout      time.Duration // from connecting, or a later request's first byte, until a request is complete
 	ClientIdleTimeout       time.Duration // a client's connection idle for longer is closed
-	EvictSilentAfter        time.Duration // a connection that has brought no head for less is not closed to make room
-	WriteStallTimeout       time.Duration // a client that reads nothing is cut off after half of this time to all of it
+	EvictSilentAfter        time.Duration // a client's connection whose first request's head has been awaited for less is not closed to make room
+	WriteStallTimeout       time.Duration // a client that reads nothing is cut off after between half of this time and all of it
 	DialTimeout             time.Duration // for a connection to a server
 	ProbeTimeout            time.Duration // for a probe of a server
 	ServerIdleTimeout       time.Duration // connections to servers idle for longer are closed
 	ServerReuseDelay        time.Duration // after an answer its connection is not used again for this long
 	MinServerReuseDelay     time.Duration // the same where no descriptor is left for another connection
 	AnswerReadTimeout       time.Duration // from the first byte of a server's answer to its last
-	SendGrace               time.Duration // a send decided before a drain may still go out for this long after it
+	SendGrace               time.Duration // an attempt decided before a server's drain may still be sent for this long after the drain began
 	ControlDialTimeout      time.Duration // for a connection to discovery or the release platform
 	DiscoverySilenceTimeout time.Duration // a watch of discovery silent for longer is taken for broken
 	PlatformSilenceTimeout  time.Duration // a connection to the release platform silent for longer is taken for broken
 	VoteTimeout             time.Duration // a vote unanswered for longer may or may not have been counted
-	AddressChangeGrace      time.Duration // after a change of address, what waits on a connection to the old one has this long
+	AddressChangeGrace      time.Duration // how long calls pending on a connection to an old address may still take after a change of address
 	DrainDelay              time.Duration // after SIGTERM, the node goes on as before for this long
 	DrainCloseUntil         time.Duration // then it closes connections between requests, until this long after SIGTERM
 	DrainTimeout            time.Duration // then it waits at most this long for requests that it has accepted
-	KillAfter               time.Duration // from this long after SIGTERM on the process may be killed, whatever it does
+	KillAfter               time.Duration // time from SIGTERM after which the process may be killed at any moment
 	HangupPollInterval      time.Duration // between checks whether a client has closed a connection that still has unread bytes
 	Linger                  time.Duration // wait after a last answer for its client to close first; zero: close at once
 	LingerBytes             int64         // the most bytes read during Linger
-	BacklogQuietTime        time.Duration // as accepting ends, the backlog counts as empty once it has brought nothing for this long
+	BacklogQuietTime        time.Duration // during the drain, the backlog counts as empty once no connection has come from it for this long
 }
 
 // Resources are what the deployment lets this node use.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -118,7 +118,8 @@
 	return err
 }
 
-// readLists reads the lists of one response until it ends. A connection to a machine that has lost its network stays
+// readLists sends one request and reads the lists of its response until it ends. With an empty query, the response is the
+// full list; otherwise it is a watch. A connection to a machine that has lost its network stays
 // open and silent, so a connection without heartbeats is treated as broken.
 func (a *addressWatch) readLists(ctx context.Context, endpoint *reconnect.Endpoint, query string) error {
 	w := a.watcher
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -118,7 +118,7 @@
 type AttemptResult struct {
 	Outcome     logic.Outcome
 	EndedAt     time.Duration // when the end was seen, on the module's clock
-	AnswerBegun bool          // a good answer had begun to come, but is not usable
+	AnswerBegun bool          // a successful answer had begun to arrive, but is not usable
 	Load        *logic.Load
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -37,7 +37,7 @@
 	Served   Status = iota
 	Refused         // the client may safely try again
 	Failed          // the request may or may not have been processed
-	TimedOut        // failed since its deadline passed
+	TimedOut        // failed because its deadline passed
 )
 
 // Answer is the final answer to a request.
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,5 +1,5 @@
 // Package features reads the further settings of the program (--settings): the usage ledger and the accord. Without such a
-// file both are off. The configuration that the users' platform gives (LB_CONFIG) is read by package config.
+// file both are off. The configuration file that LB_CONFIG names is read by package config.
 package features
 
 import (
@@ -28,15 +28,15 @@
 	Listen        string            `json:"listen"`        // address on which a registrar listens; empty: its address in Registrars
 	WithoutLease  string            `json:"without_lease"` // what a dispatcher without a lease does: hold or serve
 	Lease         time.Duration     `json:"lease"`         // length of a lease
-	LongestLease  time.Duration     `json:"longest_lease"` // the most that a lease may grow to; empty: Lease
+	LongestLease  time.Duration     `json:"longest_lease"` // the most that a lease may grow to; Lease if shorter than that
 	Beat          time.Duration     `json:"beat"`          // time between a dispatcher's heartbeats
-	Send          time.Duration     `json:"send"`          // from the check of a lease until an attempt's last byte is with the kernel
+	Send          time.Duration     `json:"send"`          // longest time from the check of a lease until the kernel has an attempt's last byte
 	Drift         float64           `json:"drift"`         // clocks run at a rate from 1-Drift to 1+Drift of true time
 	Budget        float64           `json:"budget"`        // share of the weight of one build at one site that may be cordoned, draining, lost or cold at a time
 	ColdTime      time.Duration     `json:"cold"`          // how long a server counts as cold after its cordon was lifted
 	Auto          AutoCordon        `json:"auto"`
 	DispatchLimit int               `json:"dispatch_room"` // attempts of dispatches (planned work) that may be in flight at one warm site
-	ClockStep     time.Duration     `json:"clock_step"`    // error of the wall clock; for tests
+	ClockStep     time.Duration     `json:"clock_step"`    // added to the wall clock; for tests
 	ClockRate     float64           `json:"clock_rate"`    // rate of the clock that leases are measured with; for tests
 }
 
@@ -100,7 +100,7 @@
 	return "", ""
 }
 
-// Ledger holds the settings of the usage ledger, which counts use by tenant on a durable disk.
+// Ledger holds the settings of the usage ledger, which keeps the usage of each tenant durably on disk.
 type Ledger struct {
 	File      string        `json:"file"`       // path of the ledger's file; empty: the ledger is off
 	Period    time.Duration `json:"period"`     // length of a period; periods are counted from the Unix epoch
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -18,7 +18,7 @@
 // registrars reads it.
 type Fleet struct {
 	clock    Clock
-	coldTime time.Duration
+	coldTime time.Duration // a server that started more recently counts as out of service
 
 	mu           sync.Mutex
 	hosts        map[logic.ServerID]Host
@@ -26,6 +26,7 @@
 	siteEvidence map[string]contact.Evidence        // by site, since the last TakeSiteEvidence
 }
 
+// newFleet returns a Fleet without servers.
 func newFleet(clock Clock, coldTime time.Duration) *Fleet {
 	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Evidence{}, siteEvidence: map[string]contact.Evidence{}}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 	Outcome     logic.Outcome
 	ConnRefused bool // with ConnectFailed: the machine is up but refused the connection
 	NoLease     bool // with NotSent: nothing may be sent, since this dispatcher holds no valid lease on the agreed rules
-	AnswerBegun bool // the outcome is not OK, but a good answer had begun to come
+	AnswerBegun bool // the outcome is not OK, but a successful answer had begun to arrive
 	Body        []byte
 	FreeBody    func() // releases the memory of the body; nil: nothing to release
 	Load        *logic.Load
@@ -213,7 +213,7 @@
 // DeliverPeerMessage passes on another router's message.
 func (g *Gateway) DeliverPeerMessage(e logic.PeerMessage) { g.notify(e) }
 
-// notify posts an event that nobody needs once the loop has ended.
+// notify posts an event. If the loop has ended, nobody needs the event, and it is only counted.
 func (g *Gateway) notify(e any) {
 	if g.post(e) != nil {
 		g.counters.Inc("events.after_end")
@@ -245,9 +245,9 @@
 	}
 }
 
-// fireTimers gives due timers to the module, ahead of events that wait. The module takes a tick over 0.1 s late for a
-// stall of the router and drops its evidence. The loop therefore never dials, writes to sockets, parses or logs at length,
-// and the worst lateness is counted.
+// fireTimers gives due timers to the module, ahead of events that wait. If a tick is more than 0.1 s late, the module
+// assumes that the router stalled and drops its evidence. The loop therefore never dials, writes to sockets, parses or logs
+// at length, and the worst lateness is counted.
 func (g *Gateway) fireTimers() {
 	for {
 		now := g.clock.Now()
--- a/internal/ledger/counter.go
+++ b/internal/ledger/counter.go
@@ -13,7 +13,7 @@
 	"merlinarch/logic"
 )
 
-// Counter counts a router's final answers in a ledger. It implements the Accounts interface of package clients.
+// Counter counts a router's final answers in a ledger. It implements clients.UsageRecorder.
 type Counter struct {
 	ledger        *Ledger
 	strict        bool
@@ -24,7 +24,7 @@
 }
 
 // NewCounter returns a counter. While the disk fails, a strict counter refuses new requests; any other lets answers go out
-// uncounted, which is counted and logged.
+// uncounted; it counts and logs that.
 func NewCounter(l *Ledger, s logic.Settings, strict bool, counters *metrics.Registry, log *zap.Logger) *Counter {
 	c := &Counter{ledger: l, strict: strict, worthByClass: map[string]int64{}, counters: counters, log: log}
 	for _, class := range s.Classes {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -42,7 +42,7 @@
 	return current[name]
 }
 
-// Add adds n to a counter. Names are fixed strings of the form "what.outcome" and never contain data from a peer.
+// Add adds n to a counter. Names are fixed strings of the form "what.outcome" and never contain received data.
 func (r *Registry) Add(name string, n int64) { r.counter(name).Add(n) }
 
 // Inc adds one to a counter.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -78,7 +78,7 @@
 		}
 		to = p.addrs[m.Peer]
 	}
-	if len(m.Data) > p.limits.MaxDatagram || !to.IsValid() { // a longer message invalidates the run
+	if len(m.Data) > p.limits.MaxDatagram || !to.IsValid() { // peers drop longer messages
 		p.counters.Inc("peers.not_sent")
 		return
 	}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -90,8 +90,8 @@
 	c.Follower.Run(ctx, func() reconnect.Session { return c.runSession })
 }
 
-// runSession keeps one connection open until it breaks, or until a later address has delivered something and all calls on
-// this connection are answered.
+// runSession keeps one connection open until it breaks, or until a message has been read from a later address and all calls
+// on this connection are answered.
 func (c *Client) runSession(ctx context.Context, endpoint *reconnect.Endpoint) error {
 	dialer := net.Dialer{Timeout: c.limits.ControlDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", endpoint.Addr)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// deliver passes a status or a vote's reply to the sink. Once a later address has delivered something, the statuses of
+// deliver passes a status or a vote's reply to the sink. Once a message has been read from a later address, the statuses of
 // earlier addresses are outdated and discarded, but their replies to votes are still valid: the reply to a counted vote is
 // delivered with the latest status instead.
 func (c *Client) deliver(wc *watchConn, e logic.ReleaseStatus) {
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -1,5 +1,6 @@
-// Package reconnect keeps a connection to a peer of the router whose address may change. It reconnects with backoff when
-// a connection breaks, and moves from one address to the next without a gap.
+// Package reconnect keeps a connection to a service that the router depends on (discovery or the release platform) and whose
+// address may change. It reconnects with backoff when a connection breaks, and moves from one address to the next without a
+// gap.
 package reconnect
 
 import (
@@ -15,12 +16,12 @@
 	"merlinarch/internal/metrics"
 )
 
-// Session runs one connection to a peer until it breaks or ctx ends.
+// Session runs one connection to a service until it breaks or ctx ends.
 type Session func(ctx context.Context, endpoint *Endpoint) error
 
-// Follower keeps the connection to one peer, at its present address.
+// Follower keeps the connection to one service, at its present address.
 type Follower struct {
-	name     string // of the peer, in the log and in counters
+	name     string // of the service, in the log and in counters
 	addr     string // the first address
 	policy   backoff.Policy
 	limits   config.Limits
@@ -40,7 +41,7 @@
 		moves: make(chan string, 1)}
 }
 
-// Endpoint is one address of a peer, with the state of the connection to it.
+// Endpoint is one address of a service, with the state of the connection to it.
 type Endpoint struct {
 	Addr string
 
@@ -53,10 +54,10 @@
 }
 
 // Replaced returns a context that ends once a message has been read from a later endpoint. From then on, messages from
-// this endpoint are out of date; what waits on its connection has until its session's context ends.
+// this endpoint are out of date, but calls pending on its connection may still be answered until its session's context ends.
 func (e *Endpoint) Replaced() context.Context { return e.replaced }
 
-// IsNewest reports whether this is the peer's latest address.
+// IsNewest reports whether this is the service's latest address.
 func (e *Endpoint) IsNewest() bool {
 	e.follower.mu.Lock()
 	defer e.follower.mu.Unlock()
@@ -81,7 +82,7 @@
 	return e.replaced.Err() == nil
 }
 
-// Move changes the peer's address; it never blocks. If an earlier change is still pending, the new one replaces it.
+// Move changes the service's address; it never blocks. If an earlier change is still pending, the new one replaces it.
 func (f *Follower) Move(addr string) {
 	for {
 		select {
@@ -96,7 +97,7 @@
 	}
 }
 
-// Run keeps the connection to the peer until ctx ends. newSession is called once for each address.
+// Run keeps the connection to the service until ctx ends. newSession is called once for each address.
 func (f *Follower) Run(ctx context.Context, newSession func() Session) {
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -116,7 +117,7 @@
 	}
 }
 
-// addEndpoint adds the newest endpoint. Earlier ones have AddressChangeGrace to finish what waits on them: the old address
+// addEndpoint adds the newest endpoint. Earlier ones have AddressChangeGrace to finish their pending calls: the old address
 // will soon be closed, but until a message has been read from the new one it is the only source.
 func (f *Follower) addEndpoint(ctx context.Context, addr string) (*Endpoint, context.Context) {
 	endpoint := &Endpoint{Addr: addr, follower: f}
--- a/internal/registrar/front.go
+++ b/internal/registrar/front.go
@@ -250,7 +250,7 @@
 	return v
 }
 
-// retire proposes that a dispatcher is no longer waited for.
+// retire proposes to retire a dispatcher, so that nothing waits for it any longer.
 func (f *frontend) retire(r *http.Request) any {
 	var q accord.RetireRequest
 	if problem := f.readBody(r, accord.MaxBodySize, &q, &q.Cluster); problem != nil {
@@ -281,8 +281,8 @@
 	return v
 }
 
-// watch waits until there is a version newer than the client's, and returns the newest one; it returns none if there is
-// none in time.
+// watch waits until there is a version newer than the client's and returns the newest one, or none if there is no newer one
+// within accord.WatchTimeout.
 func (f *frontend) watch(r *http.Request) any {
 	q := r.URL.Query()
 	if q.Get("cluster") != f.opts.Cluster {
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -60,7 +60,7 @@
 	leading            bool
 	appliedOwnTerm     bool                         // an entry of this term was applied: no earlier leader's state is newer
 	leases             *lease.Tracker               // nil unless leading
-	serverLists        map[string]serverList        // this and the next four: by dispatcher, as reported in this term
+	serverLists        map[string]serverList        // this map and the next four are by dispatcher, with what it reported in this term
 	hostEvidence       map[string][]cordon.Evidence // for automatic cordons
 	unknownKinds       map[string][]string          // kinds of rules that the dispatcher doesn't understand
 	siteEvidence       map[string]siteReport
@@ -646,7 +646,8 @@
 	n.counters.GetOrCreateCounter("registrar_proposals_total").Inc()
 }
 
-// findUnsupported refuses a request with a kind of rule that some dispatcher doesn't understand, unless it is forced.
+// findUnsupported returns the refusal of a request with a kind of rule that some dispatcher doesn't understand, or nil if
+// there is none or the request is forced.
 func (n *node) findUnsupported(request *ruleset.ChangeRequest) *accord.Problem {
 	for name, m := range n.state.Members {
 		for _, c := range request.Changes {
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -45,7 +45,7 @@
 	Terms      lease.Terms
 	Budget     cordon.Budget
 	AutoCordon cordon.AutoPolicy
-	ColdTime   time.Duration // slow start of a server after its cordon is lifted
+	ColdTime   time.Duration // how long a server counts as cold after its cordon was lifted
 	Schedule   schedule.Settings
 	Clock      accord.Clock
 	WallClock  func() time.Time // wall clock, for the times in the replicated state; nil: time.Now
@@ -204,7 +204,7 @@
 	}
 }
 
-// Hello is what a registrar sends the others before it takes part, so that they can tell an old copy of its store.
+// Hello is what a registrar sends the others before it takes part, so that they can recognize an old copy of its store.
 type Hello struct {
 	Cluster    string `json:"cluster"`
 	Name       string `json:"name"`
@@ -278,8 +278,8 @@
 // codeStaleStore is the code of the refusal of an old copy of a store.
 const codeStaleStore = "lost"
 
-// raftLogger passes the Raft library's log on, with warnings and infos at debug level, because the library logs most
-// messages.
+// raftLogger passes the Raft library's log on, with warnings and infos at debug level, because the library logs most of the
+// messages that it handles.
 type raftLogger struct{ *zap.SugaredLogger }
 
 func (q raftLogger) Warning(v ...any)            { q.Debug(v...) }
--- a/internal/registrar/store.go
+++ b/internal/registrar/store.go
@@ -33,7 +33,7 @@
 	Boots   uint64 `json:"boots"` // how often it has been started from this store
 }
 
-// Watermark is how far a registrar has seen another one get. A store of that other registrar that is behind the
+// Watermark is the progress that a registrar has seen another one make. A store of that other registrar that is behind the
 // watermark is an old copy.
 type Watermark struct {
 	Boots      uint64 `json:"boots"`
--- a/internal/registrar/task.go
+++ b/internal/registrar/task.go
@@ -11,7 +11,7 @@
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	queue []T
-	wake  chan struct{} // holds a token while the queue isn't empty
+	wake  chan struct{} // holds a token if something was put since the receiver last took one
 }
 
 // newMailbox returns an empty mailbox.
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -60,7 +60,7 @@
 }
 
 // roundTrip writes a request and reads its answer, until ctx ends. It reports in written whether the request's last
-// byte was written. If pass is not nil, bytes go out only while the pass allows it.
+// byte was written. If permit is not nil, bytes are written only while it allows that.
 func (c *conn) roundTrip(ctx context.Context, text []byte, permit *accord.Permit) (r response, written bool, err error) {
 	stopAbort := context.AfterFunc(ctx, c.abort)
 	if permit == nil {
--- a/internal/servers/pool.go
+++ b/internal/servers/pool.go
@@ -204,16 +204,15 @@
 	}
 }
 
-// tooLate reports whether an attempt must not be sent any more. The caller holds the lock. A dial or a stall of the
-// machine may delay an attempt until the drain grace has passed, a lower cap applies (a cap can change within the time
-// that a dial takes), the servers' deduplication window has ended, or a later build may have answered its key. Such an
-// attempt is given up and never sent late.
+// tooLate reports whether an attempt must not be sent any more. The caller holds the lock. While a dial or a stall of the
+// machine delays an attempt, the drain grace may pass, a lower cap may come into force, the servers' deduplication window
+// may end, or a later build may answer the attempt's key. Such an attempt is given up and never sent late.
 func (p *Pool) tooLate(h *host, a gateway.Attempt) bool {
 	now := time.Now()
 	drained := !h.drainingSince.IsZero() && now.After(h.drainingSince.Add(p.limits.SendGrace))
 	at, ok := p.cancelledAt[h.Build]
 	cancelled := ok && a.DecidedAt.Before(at)
-	if a.ForwardOnly { // decisions made since are left to the logic package: the newer build may be rolling back by then
+	if a.ForwardOnly { // later decisions are not refused: the newer build may be rolling back by then, which the logic package knows
 		newest := p.keyBuilds[a.Exchange.Fields.Key]
 		cancelled = cancelled || h.Build < newest.build && a.DecidedAt.Before(newest.at)
 	}
--- a/internal/servers/response.go
+++ b/internal/servers/response.go
@@ -87,8 +87,8 @@
 	untilEOF   bool // the body ends where the connection does
 }
 
-// readLine reads one line and returns it without its line end. It subtracts the bytes that it reads from headLeft, which
-// must not become negative.
+// readLine reads one line and returns it without its line end. It subtracts the number of bytes read from bytesLeft; if
+// that becomes negative, the answer is too large.
 func readLine(r *bufio.Reader, bytesLeft *int) (string, error) {
 	var text []byte
 	for {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,8 @@
 
 var scopeNames = map[string]logic.DedupScope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
 
-// maxDuration replaces longer times. To a router it is as good as for ever and can still be added to other times.
+// maxDuration replaces longer times. For a router it is practically unlimited, and adding other times to it does not
+// overflow.
 const maxDuration = 100 * 24 * time.Hour
 
 // reader reads values of an object and keeps the first error. The prefix starts each error's text.
