--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// evictInactive evicts inactive connections, then pauses for EvictIdleAfter, or 1 ms if that is shorter. It returns the
-// number of open connections from before the pause.
+// evictInactive evicts inactive connections and returns the number of open ones. Before it returns, it pauses for
+// EvictIdleAfter, but at least for 1 ms.
 func (s *Server) evictInactive() int {
 	defer time.Sleep(max(s.limits.EvictIdleAfter, time.Millisecond))
 	return s.conns.evictInactive()
--- a/internal/servers/response.go
+++ b/internal/servers/response.go
@@ -238,7 +238,7 @@
 // readChunks reads a chunked body and skips its trailer.
 func readChunks(r *bufio.Reader, limit responseLimits, alloc *allocation) ([]byte, error) {
 	var body []byte
-	for left := limit.maxHead + limit.maxBody; ; { // with chunks of one byte, the chunk heads are longer than the data
+	for left := limit.maxHead + limit.maxBody; ; { // bytes of chunk heads, which are longer than the data if each chunk holds one byte
 		text, err := readLine(r, &left)
 		if err != nil {
 			return nil, err
