--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -33,7 +33,7 @@
 	Send          time.Duration     `json:"send"`          // longest time from the check of a lease until the kernel has an attempt's last byte
 	Drift         float64           `json:"drift"`         // clocks run at a rate from 1-Drift to 1+Drift of true time
 	Budget        float64           `json:"budget"`        // share of the weight of one build at one site that may be cordoned, draining, lost or cold at a time
-	ColdTime      time.Duration     `json:"cold"`          // how long a server counts as cold after its cordon was lifted
+	ColdTime      time.Duration     `json:"cold"`          // length of the slow start of a server after its cordon was lifted, and of a site that is reachable again
 	Auto          AutoCordon        `json:"auto"`
 	DispatchLimit int               `json:"dispatch_room"` // attempts of dispatches (planned work) that may be in flight at one warm site
 	ClockStep     time.Duration     `json:"clock_step"`    // added to the wall clock; for tests
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -17,8 +17,8 @@
 // group that replicates those rules) about the servers. The gateway's loop writes it, and the goroutine that talks to the
 // registrars reads it.
 type Fleet struct {
-	clock    Clock
-	coldTime time.Duration // a server that started more recently counts as out of service
+	clock      Clock
+	warmUpTime time.Duration // a server that started more recently counts as out of service
 
 	mu           sync.Mutex
 	hosts        map[logic.ServerID]Host
@@ -27,8 +27,8 @@
 }
 
 // newFleet returns a Fleet without servers.
-func newFleet(clock Clock, coldTime time.Duration) *Fleet {
-	return &Fleet{clock: clock, coldTime: coldTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Evidence{}, siteEvidence: map[string]contact.Evidence{}}
+func newFleet(clock Clock, warmUpTime time.Duration) *Fleet {
+	return &Fleet{clock: clock, warmUpTime: warmUpTime, hosts: map[logic.ServerID]Host{}, reports: map[logic.ServerID]cordon.Evidence{}, siteEvidence: map[string]contact.Evidence{}}
 }
 
 // setHosts replaces the list of servers.
@@ -79,7 +79,7 @@
 	now := f.clock.Now()
 	for _, h := range f.hosts {
 		servers = append(servers, cordon.Server{Host: h.Name, Born: h.StartedUnixMs, Site: h.Zone, Class: h.MachineClass, Build: int(h.Build),
-			Weight: h.Weight, OutOfService: h.State != logic.Ready || h.Started > 0 && now < h.Started+f.coldTime})
+			Weight: h.Weight, OutOfService: h.State != logic.Ready || h.Started > 0 && now < h.Started+f.warmUpTime})
 	}
 	slices.SortFunc(servers, func(a, b cordon.Server) int { return cmp.Compare(a.Host, b.Host) })
 	h := fnv.New64a()
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -32,9 +32,9 @@
 
 // UseRules makes the gateway follow agreed rules; until their first version is received, nothing may be sent. It must be
 // called before Run. It returns the Fleet that collects the reports on the servers for the registrars; the Fleet reports a
-// server as out of service until coldTime after its start.
-func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
-	f := newFleet(g.clock, coldTime)
+// server as out of service until warmUpTime after its start.
+func (g *Gateway) UseRules(warmUpTime time.Duration) *Fleet {
+	f := newFleet(g.clock, warmUpTime)
 	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), permission: lease.None, hosts: map[logic.ServerID]Host{},
 		liftedAt: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
