--- a/cmd/merlinarch/accord.go
+++ b/cmd/merlinarch/accord.go
@@ -59,7 +59,8 @@
 	c.MarkFlagRequired("reason")
 }
 
-// connect reads the settings and creates a client. The context ends after the timeout or on SIGINT or SIGTERM.
+// connect reads the settings and returns a context with the function that releases it, a client of the registrars and the
+// name of the cluster. The context ends after the timeout or on SIGINT or SIGTERM.
 func (o *clusterCommand) connect() (context.Context, func(), *accord.Client, string, error) {
 	if o.changesRules && o.author == "" {
 		return nil, nil, nil, "", errors.New("--author: expected the name of who makes the change, as USER is not set")
@@ -92,10 +93,10 @@
 		if err != nil {
 			return ruleset.Answer{}, err
 		}
-		ask := accord.OperatorRequest{Cluster: cluster, ChangeRequest: ruleset.ChangeRequest{Key: rand.Text(), BaseVersion: s.Head.Version, Author: o.author, Reason: o.reason,
+		request := accord.OperatorRequest{Cluster: cluster, ChangeRequest: ruleset.ChangeRequest{Key: rand.Text(), BaseVersion: s.Head.Version, Author: o.author, Reason: o.reason,
 			Forced: o.force, Changes: changes}}
 		var a ruleset.Answer
-		if err := c.Do(ctx, accord.PathChange, ask, &a); err != nil {
+		if err := c.Do(ctx, accord.PathChange, request, &a); err != nil {
 			return a, failure{err}
 		}
 		if a.Refused == ruleset.RefusedStale { // another change was accepted first
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 	Outcome     logic.Outcome
 	ConnRefused bool // with ConnectFailed: the machine is up but refused the connection
 	NoLease     bool // with NotSent: nothing may be sent, since this dispatcher holds no valid lease on the agreed rules
-	AnswerBegun bool // the outcome is not OK, but a good answer had begun to come
+	AnswerBegun bool // the outcome is not OK, but a successful answer had begun to arrive
 	Body        []byte
 	FreeBody    func() // releases the memory of the body; nil: nothing to release
 	Load        *logic.Load
@@ -138,11 +138,11 @@
 
 // Gateway is the loop that owns the decision module.
 type Gateway struct {
-	limits  config.Limits
-	outputs Outputs
-	clock   Clock
-	count   *metrics.Registry
-	log     *zap.Logger
+	limits   config.Limits
+	outputs  Outputs
+	clock    Clock
+	counters *metrics.Registry
+	log      *zap.Logger
 
 	events       chan event
 	done         chan struct{}
@@ -158,8 +158,8 @@
 }
 
 // New returns a gateway for a decision module; Run starts it.
-func New(router *logic.Router, limits config.Limits, clock Clock, count *metrics.Registry, log *zap.Logger) *Gateway {
-	g := &Gateway{limits: limits, clock: clock, count: count, log: log,
+func New(router *logic.Router, limits config.Limits, clock Clock, counters *metrics.Registry, log *zap.Logger) *Gateway {
+	g := &Gateway{limits: limits, clock: clock, counters: counters, log: log,
 		events: make(chan event, limits.MaxEvents), done: make(chan struct{}), calls: map[*exchange.Exchange]*call{}}
 	g.driver, g.router = driver.New(router, effects{g}), router
 	return g
@@ -213,10 +213,10 @@
 // DeliverPeerMessage passes on another router's message.
 func (g *Gateway) DeliverPeerMessage(e logic.PeerMessage) { g.notify(e) }
 
-// notify posts an event that nobody needs once the loop has ended.
+// notify posts an event. If the loop has ended, nobody needs the event, and it is only counted.
 func (g *Gateway) notify(e any) {
 	if g.post(e) != nil {
-		g.count.Inc("events.after_end")
+		g.counters.Inc("events.after_end")
 	}
 }
 
@@ -235,7 +235,7 @@
 		}
 		select {
 		case e := <-g.events:
-			g.count.RecordMax("loop.worst_wait_us", time.Since(e.postedAt))
+			g.counters.RecordMax("loop.worst_wait_us", time.Since(e.postedAt))
 			g.handle(e.payload)
 		case <-wake.C:
 			armedFor = 0
@@ -245,9 +245,9 @@
 	}
 }
 
-// fireTimers gives due timers to the module, ahead of events that wait. The module takes a tick over 0.1 s late for a
-// stall of the router and drops its evidence. The loop therefore never dials, writes to sockets, parses or logs at length,
-// and the worst lateness is counted.
+// fireTimers gives due timers to the module, ahead of events that wait. If a tick is more than 0.1 s late, the module
+// assumes that the router stalled and drops its evidence. The loop therefore never dials, writes to sockets, parses or logs
+// at length, and the worst lateness is counted.
 func (g *Gateway) fireTimers() {
 	for {
 		now := g.clock.Now()
@@ -255,9 +255,9 @@
 		if !ok {
 			return
 		}
-		g.count.RecordMax("loop.worst_lateness_us", now-t.at)
+		g.counters.RecordMax("loop.worst_lateness_us", now-t.at)
 		if now-t.at > 100*time.Millisecond {
-			g.count.Inc("loop.late_ticks")
+			g.counters.Inc("loop.late_ticks")
 		}
 		g.feed(logic.TimerFired{Token: t.token})
 	}
@@ -318,12 +318,12 @@
 	c := g.driver.EndAttempt(e.id, e.attempt)
 	if c == nil {
 		exchange.Answer{FreeBody: e.result.FreeBody}.Release()
-		g.count.Inc("loop.stray_outcomes")
+		g.counters.Inc("loop.stray_outcomes")
 		return
 	}
 	ex := c.Request.ex
 	c.Request.cancel = nil
-	g.count.Inc("attempts." + outcomeName(e.result.Outcome))
+	g.counters.Inc("attempts." + outcomeName(e.result.Outcome))
 	requestOver := e.result.Outcome == logic.OK || e.result.NoLease || c.Finished() || ex.Ended()
 	if g.rules != nil {
 		g.rules.fleet.recordResult(c.Server, e.result)
@@ -375,7 +375,7 @@
 	if c.SendBy > 0 {
 		sendBy = g.clock.Time(c.SendBy)
 	}
-	g.count.Inc("attempts.sent")
+	g.counters.Inc("attempts.sent")
 	c.Request.cancel = g.outputs.Servers.Start(Attempt{Exchange: c.Request.ex, Server: c.Server, DecidedAt: now, Deadline: deadline, SendBy: sendBy, ForwardOnly: c.ForwardOnly,
 		Report: func(r Result) { g.notify(attemptEnded{id, attempt, r}) }})
 }
@@ -416,9 +416,9 @@
 	case logic.Log:
 		g.log.Info(a.Text)
 	default:
-		g.count.Inc("loop.unknown_actions")
+		g.counters.Inc("loop.unknown_actions")
 	}
 }
 
 // ReportStray counts an action for a call that does not exist or is not in a state for it.
-func (g effects) ReportStray(logic.Action) { g.count.Inc("loop.stray_actions") }
+func (g effects) ReportStray(logic.Action) { g.counters.Inc("loop.stray_actions") }
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -31,9 +31,10 @@
 }
 
 // UseRules makes the gateway follow agreed rules; until their first version is received, nothing may be sent. It must be
-// called before Run. The Fleet that it returns collects what the registrars are told about the servers.
-func (g *Gateway) UseRules(coldTime time.Duration) *Fleet {
-	f := newFleet(g.clock, coldTime)
+// called before Run. It returns the Fleet that collects the reports on the servers for the registrars; the Fleet reports a
+// server as out of service until warmUpTime after its start.
+func (g *Gateway) UseRules(warmUpTime time.Duration) *Fleet {
+	f := newFleet(g.clock, warmUpTime)
 	g.rules = &rules{view: ruleset.NewView(ruleset.Document{}), permission: lease.None, hosts: map[logic.ServerID]Host{},
 		liftedAt: map[logic.ServerID]time.Duration{}, fleet: f}
 	return f
@@ -127,9 +128,9 @@
 	var changed []Host
 	event := logic.ServersListed{}
 	for id, h := range r.hosts {
-		if now := r.applyToHost(h, g.clock); now != before[id] {
-			changed = append(changed, now)
-			event.Servers = append(event.Servers, now.Server)
+		if updated := r.applyToHost(h, g.clock); updated != before[id] {
+			changed = append(changed, updated)
+			event.Servers = append(event.Servers, updated.Server)
 		}
 	}
 	if len(changed) > 0 {
@@ -137,7 +138,7 @@
 		g.feed(event)
 	}
 	if r.lastStatus != nil && r.lastStatus.Phase == logic.OnTrial {
-		if now := r.view.RestrictRelease(*r.lastStatus, r.permission); now.Cap != g.lastRelease.Cap || now.Build != g.lastRelease.Build {
+		if restricted := r.view.RestrictRelease(*r.lastStatus, r.permission); restricted.Cap != g.lastRelease.Cap || restricted.Build != g.lastRelease.Build {
 			status := *r.lastStatus
 			status.StageAge += g.clock.Now() - r.lastStatusAt
 			g.applyRelease(status)
--- a/internal/registrar/node.go
+++ b/internal/registrar/node.go
@@ -60,7 +60,7 @@
 	leading            bool
 	appliedOwnTerm     bool                         // an entry of this term was applied: no earlier leader's state is newer
 	leases             *lease.Tracker               // nil unless leading
-	serverLists        map[string]serverList        // this and the next four: by dispatcher, as reported in this term
+	serverLists        map[string]serverList        // this map and the next four are by dispatcher, with what it reported in this term
 	hostEvidence       map[string][]cordon.Evidence // for automatic cordons
 	unknownKinds       map[string][]string          // kinds of rules that the dispatcher doesn't understand
 	siteEvidence       map[string]siteReport
@@ -119,9 +119,9 @@
 	tick struct{}
 	// sendResult says that a snapshot was sent or failed, or that a registrar is unreachable.
 	sendResult struct {
-		to       uint64
-		snapshot bool
-		ok       bool
+		to         uint64
+		isSnapshot bool
+		ok         bool
 	}
 	// readRequest is a linearizable read: its answer needs proof that this registrar leads, and the state as of then.
 	readRequest struct {
@@ -172,7 +172,7 @@
 // newNode restores a node from its store.
 func newNode(o Options, store *store, peers *peers, inbox *mailbox[any], storeInbox *mailbox[storeRequest], counters *metrics.Set, log *zap.Logger) (*node, error) {
 	n := &node{opts: o, id: store.id, inbox: inbox, storeInbox: storeInbox, peers: peers, log: log, counters: counters, replies: map[string]func(any){},
-		state: statemachine.New(o.Budget, o.SlowStart.Milliseconds())}
+		state: statemachine.New(o.Budget, o.ColdTime.Milliseconds())}
 	snapshot, err := store.memory.Snapshot()
 	if err != nil {
 		return nil, err
@@ -646,7 +646,8 @@
 	n.counters.GetOrCreateCounter("registrar_proposals_total").Inc()
 }
 
-// findUnsupported refuses a request with a kind of rule that some dispatcher doesn't understand, unless it is forced.
+// findUnsupported returns the refusal of a request with a kind of rule that some dispatcher doesn't understand, or nil if
+// there is none or the request is forced.
 func (n *node) findUnsupported(request *ruleset.ChangeRequest) *accord.Problem {
 	for name, m := range n.state.Members {
 		for _, c := range request.Changes {
@@ -749,9 +750,9 @@
 // reportSend passes the result of a send on to the Raft library.
 func (n *node) reportSend(m sendResult) {
 	switch {
-	case m.snapshot && m.ok:
+	case m.isSnapshot && m.ok:
 		n.rawNode.ReportSnapshot(m.to, raft.SnapshotFinish)
-	case m.snapshot:
+	case m.isSnapshot:
 		n.rawNode.ReportSnapshot(m.to, raft.SnapshotFailure)
 	default:
 		n.rawNode.ReportUnreachable(m.to)
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -45,7 +45,7 @@
 	Terms      lease.Terms
 	Budget     cordon.Budget
 	AutoCordon cordon.AutoPolicy
-	SlowStart  time.Duration // slow start of a server after its cordon is lifted
+	ColdTime   time.Duration // how long a server counts as cold after its cordon was lifted
 	Schedule   schedule.Settings
 	Clock      accord.Clock
 	WallClock  func() time.Time // wall clock, for the times in the replicated state; nil: time.Now
@@ -65,7 +65,7 @@
 // Init creates the store of one of the registrars of a new cluster. It may be done only once: a store that is lost is
 // replaced with Join.
 func Init(o Options) error {
-	state := statemachine.New(o.Budget, o.SlowStart.Milliseconds())
+	state := statemachine.New(o.Budget, o.ColdTime.Milliseconds())
 	confState := &pb.ConfState{}
 	for name, addr := range o.Registrars {
 		state.ReplaceRegistrar(name, statemachine.Registrar{ID: initialID(o.Cluster, name), Addr: addr})
@@ -204,7 +204,7 @@
 	}
 }
 
-// Hello is what a registrar sends the others before it takes part, so that they can tell an old copy of its store.
+// Hello is what a registrar sends the others before it takes part, so that they can recognize an old copy of its store.
 type Hello struct {
 	Cluster    string `json:"cluster"`
 	Name       string `json:"name"`
@@ -229,7 +229,7 @@
 	}
 	last, _ := store.memory.LastIndex()
 	hello := Hello{Cluster: o.Cluster, Name: o.Name, ID: store.id.ID, Boots: store.id.Boots, StartToken: rand.Text(), LastIndex: last, Term: hardState.GetTerm()}
-	state := statemachine.New(o.Budget, o.SlowStart.Milliseconds())
+	state := statemachine.New(o.Budget, o.ColdTime.Milliseconds())
 	if snapshot.Metadata.GetIndex() > 0 {
 		if state, err = decodeState(snapshot); err != nil {
 			return err
@@ -278,8 +278,8 @@
 // codeStaleStore is the code of the refusal of an old copy of a store.
 const codeStaleStore = "lost"
 
-// raftLogger passes the Raft library's log on, with warnings and infos at debug level, because the library logs most
-// messages.
+// raftLogger passes the Raft library's log on, with warnings and infos at debug level, because the library logs most of the
+// messages that it handles.
 type raftLogger struct{ *zap.SugaredLogger }
 
 func (q raftLogger) Warning(v ...any)            { q.Debug(v...) }
--- a/internal/servers/response.go
+++ b/internal/servers/response.go
@@ -87,13 +87,13 @@
 	untilEOF   bool // the body ends where the connection does
 }
 
-// readLine reads one line and returns it without its line end. It subtracts the bytes that it reads from headLeft, which
-// must not become negative.
-func readLine(r *bufio.Reader, headLeft *int) (string, error) {
+// readLine reads one line and returns it without its line end. It subtracts the number of bytes read from bytesLeft; if
+// that becomes negative, the answer is too large.
+func readLine(r *bufio.Reader, bytesLeft *int) (string, error) {
 	var text []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if *headLeft -= len(part); *headLeft < 0 {
+		if *bytesLeft -= len(part); *bytesLeft < 0 {
 			return "", errTooLarge
 		}
 		text = append(text, part...)
@@ -238,7 +238,7 @@
 // readChunks reads a chunked body and skips its trailer.
 func readChunks(r *bufio.Reader, limit responseLimits, alloc *allocation) ([]byte, error) {
 	var body []byte
-	for left := limit.maxHead + limit.maxBody; ; { // with chunks of one byte, the chunk heads are longer than the data
+	for left := limit.maxHead + limit.maxBody; ; { // bytes of chunk heads, which are longer than the data if each chunk holds one byte
 		text, err := readLine(r, &left)
 		if err != nil {
 			return nil, err
