--- a/cmd/merlinarch-registrar/main.go
+++ b/cmd/merlinarch-registrar/main.go
@@ -93,7 +93,7 @@
 	return registrar.Options{Cluster: a.Cluster, Name: o.name, Listen: a.Listen, Registrars: a.Registrars, Dir: o.dir, Terms: a.LeaseTerms(),
 		Budget: cordon.Budget{Share: a.Budget}, SlowStart: a.ColdTime, Schedule: a.ScheduleSettings(),
 		WallClock: func() time.Time { return time.Now().Add(a.ClockStep) }, Clock: accord.Clock{Rate: a.ClockRate},
-		AutoCordon: cordon.AutoPolicy{MinDispatchers: a.Auto.MinAgreeing, MaxCordons: a.Auto.MaxCordons, ErrorShare: a.Auto.ErrorShare, MinAnswers: a.Auto.MinAnswers}}, nil
+		AutoCordon: cordon.AutoPolicy{MinAgreeing: a.Auto.MinAgreeing, MaxCordons: a.Auto.MaxCordons, ErrorShare: a.Auto.ErrorShare, MinAnswers: a.Auto.MinAnswers}}, nil
 }
 
 func initCommand() *cobra.Command {
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -188,10 +188,10 @@
 
 // AutoPolicy sets when servers are cordoned on the dispatchers' evidence, without an operator.
 type AutoPolicy struct {
-	MinDispatchers int     `json:"agreeing"` // dispatchers that have to agree on an outlier; 0: off
-	MaxCordons     int     `json:"most"`     // automatic cordons that may exist at the same time
-	ErrorShare     float64 `json:"share"`    // share of errors in its answers to one dispatcher that makes a server an outlier
-	MinAnswers     int     `json:"least"`    // answers from a server that a dispatcher needs to judge it
+	MinAgreeing int     `json:"agreeing"` // dispatchers that have to agree on an outlier; 0: off
+	MaxCordons  int     `json:"most"`     // automatic cordons that may exist at the same time
+	ErrorShare  float64 `json:"share"`    // share of errors in its answers to one dispatcher that makes a server an outlier
+	MinAnswers  int     `json:"least"`    // answers from a server that a dispatcher needs to judge it
 }
 
 // Outliers lists the servers to cordon (outlier detection), those that most dispatchers agree on first. A failed link makes a
@@ -199,7 +199,7 @@
 // sees at least half of the servers fail is ignored: the fault is then in its own network path, or in something that all
 // servers depend on.
 func (a AutoPolicy) Outliers(reports map[string][]Evidence, existing map[string]Cordon) []string {
-	if a.MinDispatchers <= 0 || a.MaxCordons <= 0 {
+	if a.MinAgreeing <= 0 || a.MaxCordons <= 0 {
 		return nil
 	}
 	automatic := 0
@@ -233,7 +233,7 @@
 		for _, o := range existing {
 			closed = closed || o.Host == h
 		}
-		if n >= a.MinDispatchers && !closed {
+		if n >= a.MinAgreeing && !closed {
 			outliers = append(outliers, h)
 		}
 	}
