--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	agentFirstPause = 100 * time.Millisecond // pause after the first failure of calls that reach no shared service
-	agentMaxPause   = 2 * time.Second        // longest pause for such calls
+	defaultFirstPause = 100 * time.Millisecond // pause after the first failure of calls that reach no shared service
+	defaultMaxPause   = 2 * time.Second        // longest pause for such calls
 
 	drainGraceDivisor = 4 // the longest pause is the drain grace divided by this
 
@@ -43,9 +43,9 @@
 	if !s.WatchDiscovery || s.WatchWithin <= 0 || s.RouterCount <= 1 {
 		// What the agent receives when discovery is back counts as delivered at once. A pause as long as the drain grace
 		// would end only after that grace. Calls to the agent cost nothing, so short pauses do no harm.
-		policy := Policy{FirstPause: agentFirstPause, MaxPause: agentMaxPause, Seed: seed}
+		policy := Policy{FirstPause: defaultFirstPause, MaxPause: defaultMaxPause, Seed: seed}
 		if graceShare := s.DrainGrace / drainGraceDivisor; graceShare > 0 {
-			policy.FirstPause, policy.MaxPause = min(agentFirstPause, graceShare), min(agentMaxPause, graceShare)
+			policy.FirstPause, policy.MaxPause = min(defaultFirstPause, graceShare), min(defaultMaxPause, graceShare)
 		}
 		return policy
 	}
@@ -58,7 +58,7 @@
 
 // ForPlatform returns the policy for connections to the release platform.
 func ForPlatform(seed uint64) Policy {
-	return Policy{FirstPause: agentFirstPause, MaxPause: agentMaxPause, Seed: seed}
+	return Policy{FirstPause: defaultFirstPause, MaxPause: defaultMaxPause, Seed: seed}
 }
 
 // Pacer spaces one router's calls to one address. It is not safe for concurrent use.
--- a/internal/decide/ruleset/ruleset.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -297,15 +297,15 @@
 }
 
 // isLower reports whether next is lower than now. A nil number stands for no rule and counts as defaultValue.
-func isLower(next, now *float64, defaultValue float64) bool {
-	nextValue, nowValue := defaultValue, defaultValue
+func isLower(next, current *float64, defaultValue float64) bool {
+	nextValue, currentValue := defaultValue, defaultValue
 	if next != nil {
 		nextValue = *next
 	}
-	if now != nil {
-		nowValue = *now
+	if current != nil {
+		currentValue = *current
 	}
-	return nextValue < nowValue
+	return nextValue < currentValue
 }
 
 // Narrows reports whether a change only reduces what dispatchers may do. Such a change takes effect at once; one that widens
--- a/internal/decide/schedule/schedule.go
+++ b/internal/decide/schedule/schedule.go
@@ -165,7 +165,7 @@
 		return Decision{Job: j.ID, Verdict: Try}
 	case up && chance >= confidentProbability:
 		return Decision{Job: j.ID, Verdict: Try}
-	case !up && gainNow > 0 && tryNow > later*(1+guessMargin) && now >= j.LastTriedMs+s.retryDelayMs(j):
+	case !up && gainNow > 0 && tryNow > later*(1+downSiteMargin) && now >= j.LastTriedMs+s.retryDelayMs(j):
 		return Decision{Job: j.ID, Verdict: Try}
 	case !up && latestStart-now <= s.PlanInterval.Milliseconds() && chance > s.FailedTryCost:
 		return Decision{Job: j.ID, Verdict: Try} // the last opportunity
@@ -178,7 +178,7 @@
 
 const (
 	confidentProbability = 0.9  // at this probability of completing, a job is not held back at a site that is up
-	guessMargin          = 0.02 // relative margin by which a try has to exceed waiting if the site was not last observed up
+	downSiteMargin       = 0.02 // relative margin by which a try has to exceed waiting if the site was not last observed up
 )
 
 // retryDelayMs returns the time to wait after a failed try if there is nothing else to go by. It doubles with each failure, up
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -173,7 +173,7 @@
 	var out []Entry
 	observed := map[string]contact.State{}
 	for site, state := range view.SiteStates {
-		if dispatch := s.Forecaster.Sites[site]; state != contact.Unknown && (dispatch == nil || dispatch.State != state || view.UnixMs-dispatch.Seen >= observationInterval.Milliseconds()) {
+		if observedSite := s.Forecaster.Sites[site]; state != contact.Unknown && (observedSite == nil || observedSite.State != state || view.UnixMs-observedSite.Seen >= observationInterval.Milliseconds()) {
 			observed[site] = state
 		}
 	}
--- a/internal/decide/usage/state.go
+++ b/internal/decide/usage/state.go
@@ -62,13 +62,13 @@
 
 // Periods returns the periods with entries in the book or notes about them, including closed periods, in order.
 func (b *Book) Periods() []Period {
-	known := map[Period]bool{}
+	hasEntries := map[Period]bool{}
 	for p, page := range b.pages {
-		known[p] = len(page.sums) > 0 || known[p]
+		hasEntries[p] = len(page.sums) > 0 || hasEntries[p]
 		for _, n := range page.notes {
-			known[n.For] = true
+			hasEntries[n.For] = true
 		}
 	}
-	maps.DeleteFunc(known, func(_ Period, yes bool) bool { return !yes })
-	return slices.Sorted(maps.Keys(known))
+	maps.DeleteFunc(hasEntries, func(_ Period, yes bool) bool { return !yes })
+	return slices.Sorted(maps.Keys(hasEntries))
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -37,7 +37,7 @@
 	stallThreshold = 100 * time.Millisecond // a tick later than this means that the router itself stood still
 
 	suspectChance      = 0.01                   // less likely runs of failures make a server suspect
-	firstPause         = 500 * time.Millisecond // first time a server is avoided; doubles up to 16 times this
+	firstAvoidTime     = 500 * time.Millisecond // first time a server is avoided; doubles up to 16 times this
 	minFailureRate     = 0.05                   // lower bound of the usual failure rate
 	minOutlierFailures = 3.0                    // least recent failures, seen by any routers, of an outlier
 	recentFailureDecay = 0.975                  // factor per tick, so that failures count for about 2 s
@@ -267,7 +267,7 @@
 func (r *Router) recordFailure(s *server, sure bool) {
 	if s.consecutiveFailures++; sure ||
 		math.Pow(max(r.failurePart, minFailureRate), float64(s.consecutiveFailures)) < suspectChance {
-		s.suspectFor = min(max(2*s.suspectFor, firstPause), 16*firstPause)
+		s.suspectFor = min(max(2*s.suspectFor, firstAvoidTime), 16*firstAvoidTime)
 		s.suspectUntil = r.now + s.suspectFor
 	}
 }
@@ -281,7 +281,7 @@
 	s.recentFailures++
 	s.buildErrors += float64(oneIf(answeredError))
 	g := r.groupOf(s.Build)
-	if r.now > s.ejectedUntil+16*firstPause {
+	if r.now > s.ejectedUntil+16*firstAvoidTime {
 		s.ejectedFor = 0
 	}
 	suspected := s.ejectedFor > 0 || r.isOutlier(s) // half-open after an ejection: one failure is enough
@@ -289,7 +289,7 @@
 		float64(r.healthyCount(g)) < isolatedHealthyPart*float64(len(g.all)) {
 		return
 	}
-	s.ejectedFor = min(max(2*s.ejectedFor, firstPause), 16*firstPause)
+	s.ejectedFor = min(max(2*s.ejectedFor, firstAvoidTime), 16*firstAvoidTime)
 	s.ejectedUntil = r.now + s.ejectedFor/2 + time.Duration(r.rng.Int64N(int64(s.ejectedFor)))
 	// Failing servers of the old build are ejected already, while those of the new build are only being
 	// discovered. Counting the latter's failures would bias the comparison against the new build.
--- a/logic/report.go
+++ b/logic/report.go
@@ -143,11 +143,11 @@
 	r := Report{Incarnation: binary.BigEndian.Uint32(b[1:]), Build: BuildID(binary.BigEndian.Uint16(b[5:])),
 		Stage: int(b[7]), Demand: binary.BigEndian.Uint16(b[8:]), UsualDemand: binary.BigEndian.Uint16(b[10:])}
 	b = b[reportHeaderSize:]
-	before, size := binary.Uvarint(b)
-	if size <= 0 || before > maxCount {
+	baseline, size := binary.Uvarint(b)
+	if size <= 0 || baseline > maxCount {
 		return Report{}, errMalformed
 	}
-	r.BaselineAnswers, b = uint32(before), b[size:]
+	r.BaselineAnswers, b = uint32(baseline), b[size:]
 	for _, a := range r.arms() {
 		for _, dst := range a.fields() {
 			n, size := binary.Uvarint(b)
