--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -1,9 +1,9 @@
-// Package backoff decides when a router calls a service that it follows again: discovery or the release platform. One
-// router that calls at once does no harm. When hundreds call at the same moment, after a common start, a restart of most
-// of them or an outage, the service spends its time on the storm of calls and answers none. Therefore the pause doubles
-// with each consecutive failure and is drawn at random (exponential backoff with jitter). Where one service takes the
-// calls of the whole fleet, each router also has its own slot in a window that is wide enough for one call from every
-// router.
+// Package backoff decides when a router calls a service that it watches, and when it repeats a failed call. The services
+// are discovery and the release platform. One router that calls at once does no harm. When hundreds call at the same
+// moment, after a common start, a restart of most of them or an outage, the service spends its time on the storm of calls
+// and answers none. Therefore the pause doubles with each consecutive failure and is drawn at random (exponential backoff
+// with jitter). Where one service takes the calls of the whole fleet, each router also has its own slot in a window that
+// is wide enough for one call from every router.
 package backoff
 
 import (
@@ -15,14 +15,14 @@
 )
 
 const (
-	defaultFirstPause = 100 * time.Millisecond // pause after the first failure of calls that reach no shared service
+	defaultFirstPause = 100 * time.Millisecond // pause after the first failure of calls without a window
 	defaultMaxPause   = 2 * time.Second        // longest pause for such calls
 
 	drainGraceDivisor = 4 // the longest pause is the drain grace divided by this
 
 	windowShare         = 0.8             // part of WatchWithin used for the window; the rest is for the answer
-	moveWindow          = 3 * time.Second // window after a move; 4 s after it, changes count as delivered in any case
-	maxWindowFactor     = 2.0             // of WatchWithin; after a failure, four times WatchWithin is granted
+	moveWindow          = 3 * time.Second // window after a move to another address; changes count as delivered 4 s after it
+	maxWindowFactor     = 2.0             // longest window / WatchWithin; changes count as delivered 4 WatchWithin after a failure
 	goldenRatioFraction = 0.6180339887498949
 )
 
@@ -41,8 +41,9 @@
 // agent of the router's own answers, and no service is shared.
 func ForDiscovery(s logic.Settings, seed uint64) Policy {
 	if !s.WatchDiscovery || s.WatchWithin <= 0 || s.RouterCount <= 1 {
-		// What the agent receives when discovery is back counts as delivered at once. A pause as long as the drain grace
-		// would end only after that grace. Calls to the agent cost nothing, so short pauses do no harm.
+		// What the agent receives when discovery is back counts as delivered to the router at once. If the router paused for
+		// as long as the drain grace, it would learn of a drain only after that grace. Calls to the agent cost nothing, so
+		// short pauses do no harm.
 		policy := Policy{FirstPause: defaultFirstPause, MaxPause: defaultMaxPause, Seed: seed}
 		if graceShare := s.DrainGrace / drainGraceDivisor; graceShare > 0 {
 			policy.FirstPause, policy.MaxPause = min(defaultFirstPause, graceShare), min(defaultMaxPause, graceShare)
--- a/internal/decide/contact/contact.go
+++ b/internal/decide/contact/contact.go
@@ -2,13 +2,14 @@
 // dispatchers (the gateways) observed of it.
 //
 // A site alternates between intervals of being up and down. The model of their lengths is the piecewise exponential model of
-// survival analysis: interval ends and exposure are counted in bins of the interval's age. An interval that still runs, or
-// whose end was not observed, adds exposure and no end; it is censored, and not counted as finished. An alternating renewal
-// process turns these lengths into the probability of being up later. Three other forecasts compete with it: the share of
-// time that the site is up at that time of the day, its share of all time, and that its state does not change. The forecasts
-// are mixed by exponential weights with a fixed share (Herbster and Warmuth, 1998), by how well each did before. Each length
-// of look-ahead has its own weights, and the mix follows a pattern that changes. An operator's calendar of planned outages is
-// applied on top as a strong prior, which observations of earlier planned outages override.
+// survival analysis: interval ends and exposure (observed time) are counted in bins of the interval's age. An interval that
+// still runs, or whose end was not observed, adds exposure and no end; it is censored, and not counted as finished. An
+// alternating renewal process turns these lengths into the probability of being up later. Three other forecasts compete with
+// it: the share of time that the site is up at that time of the day, its share of all time, and that its state does not
+// change. The forecasts are mixed by exponential weights with a fixed share (Herbster and Warmuth, 1998), by how well each did
+// before. Each length of look-ahead has its own weights, and the fixed share lets the mix adapt when a pattern changes. An
+// operator's calendar of planned outages is applied on top as a strong prior, which observations of earlier planned outages
+// override.
 package contact
 
 import (
@@ -33,13 +34,13 @@
 	dayLength        = 24 * time.Hour // in UTC, so a switch to or from summer time shifts the pattern, which is then relearned
 	horizonCount     = 6              // lengths of look-ahead, each with its own weights of the experts
 	maxPending       = 8              // forecasts per horizon that wait for their outcome
-	minSteps         = 24             // steps of a look-ahead in the renewal process
+	minSteps         = 24             // least number of steps by which the renewal process looks ahead
 	maxSteps         = 160
 	stepsPerInterval = 8 // steps per mean interval of the shorter kind; with fewer, the process loses track of the phase
 	expertCount      = 4 // the forecasts that are mixed: renewal, time of day, mean, no change
 
-	intervalDecay         = 0.97  // decay of the counts at the end of each interval: about the last 30 count
-	dayDecay              = 0.85  // decay per day of what is known of a time of day: about the last week counts
+	intervalDecay         = 0.97  // factor on the counts at the end of each interval: about the last 30 count
+	dayDecay              = 0.85  // factor per day on the observations of a time of day: about the last week counts
 	sharedWeight          = 0.005 // part of the weights that is redistributed evenly at each update, so that old results are forgotten
 	priorEndCount         = 0.7   // weight of the mean over all ages in each bin, in interval ends
 	calendarPriorOccurred = 4.0   // initial trust in a calendar: as if four of five planned outages had occurred
@@ -49,7 +50,8 @@
 	maxProbability        = 1 - 1e-3 // bound of every forecast; the lower one is 1 - maxProbability
 )
 
-// horizonLengths holds the length of each horizon. Forecasts are evaluated at that far end, since errors add up on the way.
+// horizonLengths holds the length of each horizon. Forecasts are evaluated at the end of the horizon, since errors add up until
+// then.
 var horizonLengths = [horizonCount]time.Duration{time.Minute, 5 * time.Minute, 20 * time.Minute, time.Hour, 4 * time.Hour, 12 * time.Hour}
 
 // horizonOf returns the index of the horizon for a look-ahead of d.
@@ -113,7 +115,7 @@
 	return n
 }
 
-// hazard returns the rate per second at which intervals in an age bin end. Bins with little data are drawn to the mean.
+// hazard returns the rate per second at which intervals in an age bin end. With little data in the bin, it is close to the mean.
 func (a *DurationModel) hazard(b int, mean float64) float64 {
 	return (a.Ends[b] + priorEndCount) / (a.Exposure[b] + priorEndCount/mean)
 }
@@ -162,17 +164,17 @@
 // Site holds what is known of one site. Its size is bounded.
 type Site struct {
 	State             State                              `json:"state"`
-	Since             int64                              `json:"since"` // Unix ms: begin of the current interval, as far as observed
+	Since             int64                              `json:"since"` // Unix ms: start of the current interval, as far as observed
 	Seen              int64                              `json:"seen"`  // Unix ms: last observed in this state
 	Durations         [2]DurationModel                   `json:"ages"`  // up; down
 	UpSecondsByBin    [dayBins]float64                   `json:"day_up"`
 	SeenSecondsByBin  [dayBins]float64                   `json:"day_all"`
-	LastDayByBin      [dayBins]int64                     `json:"day_at"` // the last day that was counted
+	LastDayByBin      [dayBins]int64                     `json:"day_at"` // the day of the bin's latest observation, in days since the Unix epoch
 	Weights           [horizonCount][expertCount]float64 `json:"weights"`
 	Pending           [horizonCount][]pendingForecast    `json:"pending,omitempty"`
 	OutagesOccurred   float64                            `json:"plan_yes"`  // decayed number of planned outages that occurred
 	OutagesPlanned    float64                            `json:"plan_all"`  // decayed number of planned outages during which the site was observed
-	LastCountedOutage int64                              `json:"plan_seen"` // Unix ms: begin of the latest planned outage that was counted
+	LastCountedOutage int64                              `json:"plan_seen"` // Unix ms: start of the latest planned outage that was counted
 }
 
 // Forecaster tracks all sites and forecasts when they can be reached.
@@ -452,7 +454,7 @@
 	calendarTrust := x.OutagesOccurred / max(1, x.OutagesPlanned)
 	switch planned, current := outageAt(calendar, at), outageAt(calendar, now); {
 	case planned != nil && (x.State == Down || planned != current):
-		f.UpProbability *= 1 - calendarTrust // not for an outage that should have begun while the site is observed to be up
+		f.UpProbability *= 1 - calendarTrust // planned for then; if for now as well, the site is down as planned
 		f.HasEvidence = true
 	case planned != nil: // planned for now, but the site is up so far
 		f.UpProbability *= 1 - calendarTrust*0.5
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s@%d", t.Host, *t.Born)
 }
 
-// Cordon is an agreed cordon.
+// Cordon is a cordon that is in force.
 type Cordon struct {
 	Target
 	Author     string `json:"author"`
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// State is the progress of a cordon.
+// State tells how far a cordon has been put into effect.
 type State string
 
 // States of a cordon. Only Confirmed says that the server may be switched off.
@@ -188,7 +188,7 @@
 
 // AutoPolicy sets when servers are cordoned on the dispatchers' evidence, without an operator.
 type AutoPolicy struct {
-	MinAgreeing int     `json:"agreeing"` // dispatchers that have to agree on an outlier; 0: off
+	MinAgreeing int     `json:"agreeing"` // dispatchers whose evidence has to agree on an outlier; 0: off
 	MaxCordons  int     `json:"most"`     // automatic cordons that may exist at the same time
 	ErrorShare  float64 `json:"share"`    // share of errors in its answers to one dispatcher that makes a server an outlier
 	MinAnswers  int     `json:"least"`    // answers from a server that a dispatcher needs to judge it
--- a/internal/decide/ruleset/ruleset.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -112,7 +112,7 @@
 	Lifted     map[string]int64         `json:"lifted,omitempty"` // Unix ms by host: recently lifted cordons, whose servers return with slow start
 }
 
-// PendingChange is a change that is agreed and not yet in force.
+// PendingChange is a change that is announced and not yet in force.
 type PendingChange struct {
 	Version uint64 `json:"version"` // that announced the change
 	Change  Change `json:"change"`
@@ -193,7 +193,7 @@
 	RefusedStale     = "stale"  // the base version is not the current one
 	RefusedKeyReused = "key"    // another request had this key
 	RefusedInvalid   = "wrong"  // the request is invalid
-	RefusedBudget    = "budget" // the budget of cordons is exceeded
+	RefusedBudget    = "budget" // cordon.Budget.Check refuses a cordon
 	RefusedTooLarge  = "large"  // the rules would be larger than MaxRulesBytes
 )
 
@@ -223,7 +223,7 @@
 	return b
 }
 
-// errInvalid is the reason why a request is invalid. Its text is stored with the answer.
+// errInvalid tells why a request is invalid. Its text is stored with the answer.
 type errInvalid string
 
 func (e errInvalid) Error() string { return string(e) }
--- a/internal/decide/schedule/schedule.go
+++ b/internal/decide/schedule/schedule.go
@@ -156,8 +156,8 @@
 			bestGain, bestAt = gain, at
 		}
 	}
-	// The later times remain available after a failed try, so that it costs no more than its cost and is worth making if its
-	// probability makes up for that. guessMargin allows for what may happen in between.
+	// After a failed try, the later times are still available. So a try now risks only its cost, and is worth making if its
+	// chance of success outweighs that. downSiteMargin allows for what may happen in between.
 	later := math.Max(0, bestGain)
 	tryNow := chance*j.Worth + (1-chance)*(later-s.FailedTryCost*j.Worth)
 	switch {
@@ -178,7 +178,7 @@
 
 const (
 	confidentProbability = 0.9  // at this probability of completing, a job is not held back at a site that is up
-	downSiteMargin       = 0.02 // relative margin by which a try has to exceed waiting if the site was not last observed up
+	downSiteMargin       = 0.02 // relative margin by which a try has to be worth more than waiting if the site was not last observed up
 )
 
 // retryDelayMs returns the time to wait after a failed try if there is nothing else to go by. It doubles with each failure, up
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -23,7 +23,7 @@
 
 // Entry is one entry of the log. Exactly one of its parts is set. Entries are stored as JSON.
 type Entry struct {
-	// Term is the term of the leader that proposed the entry. A leader that was deposed or was paused may decide by old
+	// Term is the term of the leader that proposed the entry. A leader that was deposed or was paused may decide on old
 	// reports, so its decision is void unless the entry was appended to the log in the same term.
 	Term uint64 `json:"term"`
 	At   int64  `json:"at_ms"` // Unix time by that leader's clock
@@ -51,8 +51,8 @@
 	Site       string     `json:"site,omitempty"`
 }
 
-// Activate brings waiting changes into force, up to a version. It is proposed once no dispatcher acts on a version older
-// than the one that announced them.
+// Activate puts the pending changes in force that were announced up to a version. It is proposed once no dispatcher acts on
+// a version older than the one that announced them.
 type Activate struct {
 	Version uint64 `json:"version"`
 }
@@ -228,7 +228,7 @@
 		case m.Mode == lease.Serve && !e.Retire.Forced:
 			return Result{Refused: "it serves without a lease: retire it by force once its process has ended for certain"}
 		}
-		// Its incarnations are waited for like any that were replaced. Only the expiry of their leases settles them.
+		// Registrars wait for its incarnations as for any that were replaced. Only the expiry of their leases ends that.
 		m.FormerIncarnations, m.Mode = append(slices.Clone(m.FormerIncarnations), m.Incarnation), lease.Hold
 		m.Incarnation, m.Token = 0, ""
 		s.Members[e.Retire.Name] = m
@@ -318,7 +318,7 @@
 	Stragglers []lease.Straggler `json:"missing,omitempty"`
 }
 
-// LeaderView is what a leader knows at a given time in addition to the replicated state.
+// LeaderView holds what a leader knows at a given time in addition to the replicated state.
 type LeaderView struct {
 	Leases      *lease.Tracker
 	Now         time.Duration                // on the leader's clock
@@ -365,11 +365,11 @@
 	return n
 }
 
-// elapsedInterval is how often time is counted towards the expiry of cordons. A change of leaders may prolong each cordon
-// by this much.
+// elapsedInterval is the interval at which time is counted towards the expiry of cordons. A change of leaders may prolong
+// each cordon by this much.
 const elapsedInterval = 2 * time.Second
 
-// Due returns the entries that a leader should propose now, by the reports of its term.
+// Due returns the entries that a leader should propose now, based on the reports of its term.
 func (s *State) Due(view LeaderView) []Entry {
 	var out []Entry
 	d := &s.Ruleset.Document
--- a/internal/decide/statemachine/work.go
+++ b/internal/decide/statemachine/work.go
@@ -18,7 +18,7 @@
 	States map[string]contact.State `json:"states"`
 }
 
-// Claim gives a dispatch to an incarnation of a dispatcher. It gets a fencing token higher than any before, which
+// Claim gives a dispatch to an incarnation of a dispatcher. Each claim gets a fencing token higher than any before, which
 // distinguishes the present owner from an earlier one that was paused in the meantime.
 type Claim struct {
 	Dispatch    string `json:"dispatch"`
@@ -165,7 +165,7 @@
 	return site.State == contact.Up, site.Since, site.Seen
 }
 
-// observationInterval is how often an unchanged state of a site is recorded.
+// observationInterval is the interval at which an unchanged state of a site is recorded.
 const observationInterval = time.Minute
 
 // dueDispatchEntries returns the entries about sites and dispatches that a leader should propose now.
@@ -268,7 +268,7 @@
 	Plan     ruleset.Dispatch `json:"work"`
 }
 
-// SiteStatus tells whether a site is reached now and is likely to be in an hour.
+// SiteStatus tells whether a site was reachable when last observed, and how likely it is to be reachable in an hour.
 type SiteStatus struct {
 	State       string  `json:"state"` // when last observed: up or down
 	SinceMs     int64   `json:"since_ms"`
@@ -310,7 +310,7 @@
 	return t.Length
 }
 
-// cutOffThreshold is the probability of being reached below which a site counts as about to be cut off.
+// cutOffThreshold is the probability of being reachable below which a site counts as about to be cut off.
 const cutOffThreshold = 0.5
 
 // StalenessBounds returns D (lease.Terms.StalenessBound) for the sites whose dispatchers get longer leases now.
--- a/internal/decide/usage/usage.go
+++ b/internal/decide/usage/usage.go
@@ -60,11 +60,11 @@
 	Tenant, Class string
 	Outcome       Outcome
 	Attempts      int64
-	Work          time.Duration // estimate
-	Worth         int64         // millionths
+	Work          time.Duration // estimated
+	Worth         int64         // in millionths
 }
 
-// Account identifies the usage that is added up together.
+// Account identifies a total: usage with the same tenant, class and outcome is added up.
 type Account struct {
 	Tenant, Class string
 	Outcome       Outcome
@@ -74,7 +74,7 @@
 type Sum struct {
 	Requests, Attempts int64
 	Work               time.Duration
-	Worth              int64 // millionths
+	Worth              int64 // in millionths
 }
 
 func (s Sum) add(t Sum) Sum {
@@ -152,7 +152,7 @@
 	return closed
 }
 
-// accountFor returns the account of a use. All names that are not in the settings share one account name, so two thousand
+// accountFor returns the account of a use. All names that are not in the settings are replaced by Other, so two thousand
 // unknown tenants make one line.
 func (b *Book) accountFor(tenant, class string, o Outcome) Account {
 	if !b.tenants[tenant] {
--- a/logic/api.go
+++ b/logic/api.go
@@ -46,7 +46,7 @@
 	DedupScope    DedupScope
 	DedupWindow   time.Duration // how long servers deduplicate repeats of a Keyed request
 	LatencyTarget time.Duration // an answer within this time earns the full worth
-	Deadline      time.Duration
+	Deadline      time.Duration // how long a client waits for an answer
 	Worth         float64
 	LateValue     float64 // worth of an answer after the latency target
 }
@@ -55,7 +55,7 @@
 type Tenant struct {
 	Name  string
 	Quota float64 // requests per second over all routers
-	Share float64
+	Share float64 // fair part of all requests; see Settings.OverShareWorth
 }
 
 // Rollout holds the release platform's settings.
@@ -90,14 +90,14 @@
 	CanProbe          bool          // the host supports Probe
 	CanPost           bool          // the host supports Post
 	CanCancel         bool          // the host supports Cancel
-	WatchDiscovery    bool          // the router has to ask discovery for changes
-	WatchWithin       time.Duration // the time within which it has to ask
+	WatchDiscovery    bool          // the router has to subscribe to discovery's changes
+	WatchWithin       time.Duration // with WatchDiscovery: the time within which it has to call discovery
 	ClockResolution   time.Duration // granularity of the host's times
 	DrainGrace        time.Duration // how long after a server's drain a router may still send it new attempts
 	ConnIdleTimeout   time.Duration // idle connections are closed after this time
 	ColdCapacity      float64       // part of its capacity that a server has when it starts
 	WarmUpTime        time.Duration // a server reaches its full capacity after this time
-	OverloadMultiple  float64       // a cold server fails if it gets more than this multiple of what it can do,
+	OverloadMultiple  float64       // a cold server fails if it gets more than this multiple of its current capacity,
 	OverloadTime      time.Duration // measured over this time
 	CrossZoneCost     float64       // cost of a request that crosses zones
 	HandshakeCost     float64       // cost of a new connection for each request
@@ -271,8 +271,9 @@
 type (
 	// Send starts an attempt. With a Timeout of 0 it may take until the client gives up. SendBy is the latest time at
 	// which its first byte may be sent, for repeats that are safe only for a limited time; 0: any time. ForwardOnly is
-	// set where a key must not go back to an older build: once this attempt has been sent, and again once it is
-	// answered, no attempt for the same key that was decided earlier and goes to an older build may be sent.
+	// set where a key must not go back to an older build. When such an attempt is sent, and again when it is answered,
+	// the host must give up all attempts for the same key that it has not sent yet and that go to an older build.
+	// Attempts that the router decides on afterwards may be sent.
 	Send struct {
 		ID          RequestID
 		Server      ServerID
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -3,7 +3,7 @@
 // and decodes the messages between routers; neither of them decides anything.
 //
 // Order of this file: constants; events; servers (list, health, slow start); builds and exposure; choice of a
-// server; the life of a request; overload (concurrency limit and queue); evidence; the statistical test;
+// server; handling of a request; overload (concurrency limit and queue); evidence; the statistical test;
 // votes.
 
 package logic
@@ -27,24 +27,24 @@
 	walkPermutations      = 20                     // random orderings whose results the test combines
 	trialCapPart          = 0.8                    // part of the cap used by first attempts at the new build
 	minEvidenceAge        = 3 * time.Second        // outcomes of younger servers are not counted as evidence
-	stageTimeout          = 5 * time.Second        // wait for outcomes after the newest server's listing
-	reportInterval        = 250 * time.Millisecond // least time between reports to voters; 8 times it at most
+	stageTimeout          = 5 * time.Second        // longest wait for outcomes after a server's listing
+	reportInterval        = 250 * time.Millisecond // time between reports to voters: 1 to 8 times this
 	reportBytesPerRequest = 64                     // bytes of reports allowed per request received
 )
 
 const (
 	tickInterval   = 50 * time.Millisecond
-	stallThreshold = 100 * time.Millisecond // a tick later than this means that the router itself stood still
+	stallThreshold = 100 * time.Millisecond // if a tick is later than this, the router itself stalled
 
 	suspectChance      = 0.01                   // less likely runs of failures make a server suspect
-	firstAvoidTime     = 500 * time.Millisecond // first time a server is avoided; doubles up to 16 times this
+	firstAvoidTime     = 500 * time.Millisecond // how long a server is avoided; doubles up to 16 times this
 	minFailureRate     = 0.05                   // lower bound of the usual failure rate
-	minOutlierFailures = 3.0                    // least recent failures, seen by any routers, of an outlier
+	minOutlierFailures = 3.0                    // recent failures, over all routers, that make an outlier
 	recentFailureDecay = 0.975                  // factor per tick, so that failures count for about 2 s
 
 	slowStartBudgetPart = 0.85 // part of a cold server's overload budget that all routers together may use
 	servedRateSeconds   = 10.0 // time over which the rate of served requests is smoothed
-	minServedPart       = 0.25 // part of the request rate that counts as served at least
+	minServedPart       = 0.25 // the served rate counts as at least this part of the request rate
 
 	// A router that gets no in-flight counts from its peers uses at least minSubsetSize servers, or as many
 	// as it gets requests in subsetSeconds.
@@ -53,29 +53,29 @@
 	maxRandomDraws        = 6    // random draws of a server before a linear search
 	loadPerCost           = 6.0  // attempts in flight that weigh as much as a cost of 1
 	highHandshakeCost     = 0.05 // from this cost on, drawing a server without a connection is retried once
-	sameZoneFactor        = 8.0  // times the cross-zone cost: the chance that one choice is in the own zone
+	sameZoneFactor        = 8.0  // times the cross-zone cost: chance of a second choice in the own zone
 	lateReduction         = 2.0  // the trial's share shrinks by this multiple of the part of late answers
 	spillOverLoad         = 1.3  // load ratio beyond which requests for the new build go to the old one
 	maxClosedStageKeyUses = 2    // forward-only: keys used more often do not try a build in a closed stage
 
 	attemptSmoothing      = 0.08                   // weight of one attempt in the moving averages
 	longIdle              = 500 * time.Millisecond // connections idle for longer may be dropped silently
-	highIdleLoss          = 0.2                    // above this unanswered part, idle connections are closed
+	highIdleLoss          = 0.2                    // idle connections are closed above this part of losses
 	idleLossDecay         = 0.997                  // factor per tick for the loss on idle connections
-	highRequestFault      = 0.5                    // if more errors recur elsewhere, requests are at fault
-	requestFaultRetryPart = 0.1                    // part of errors that is still retried then
+	highRequestFault      = 0.5                    // if a larger part of errors recurs, requests are at fault
+	requestFaultRetryPart = 0.1                    // part of errors that is retried if requests are at fault
 	slowConnectMargin     = 0.3                    // extra latency on new connections, in latency targets
 
 	// The initial concurrency limit is this many attempts per server. All routers' limits together are never
 	// lower than half of it.
 	initialLimitPerServer = 3.0
 
-	limitDecrease     = 0.9 // factor by which the limit is cut
+	limitDecrease     = 0.9 // the limit is multiplied by this when it is cut
 	highLatePart      = 0.2 // part of late answers above which the limit is cut
 	overShareMultiple = 1.3 // a tenant is over its share beyond this multiple of it
 
 	maxIncarnations         = 16          // incarnations of a peer during one build whose counts are kept
-	inFlightTTL             = time.Second // a peer's in-flight report counts this long; 10 per TTL at most
+	inFlightTTL             = time.Second // how long an in-flight report counts; at most 10 are sent in it
 	inFlightBytesPerRequest = 512         // bytes of in-flight reports allowed per request received
 	messageOverheadBytes    = 20          // bytes that a message costs beyond its payload
 
@@ -89,12 +89,12 @@
 	minBaselineAnswers  = 4               // answers needed to set a slow threshold
 	slowMargin          = 0.2             // increase in slow answers over the old build that is tolerated
 	fleetSlowdownCap    = 0.4             // a build with a lower cap hardly slows the whole fleet
-	fleetSlowdownTime   = 7 * time.Second // after the release; slowness that comes later has other causes
+	fleetSlowdownTime   = 7 * time.Second // after the release; later slowness has other causes
 	fleetSlowMargin     = 0.1             // increase in slow answers over the baseline that is tolerated
 
 	// A slower fleet is tolerated while less than fleetMissedPart of its requests miss their target. During a
-	// trial it is not, if the increase in slow answers and the mean latency as a part of the target exceed
-	// fleetSeverePart.
+	// trial it is not, if both the increase in slow answers and the ratio of mean latency to its target
+	// exceed fleetSeverePart.
 	fleetMissedPart = 0.05
 	fleetSeverePart = 0.25
 
@@ -177,7 +177,7 @@
 
 // updateServers applies a list, or changes to it, from discovery. A server that restarted loses its history.
 func (r *Router) updateServers(e ServersListed) {
-	if e.Failed { // reported only to routers that asked
+	if e.Failed { // reported only with WatchDiscovery
 		r.emit(Watch{})
 		return
 	}
@@ -221,14 +221,15 @@
 
 // slowStartAllows reports whether a cold server may get one more request, and counts that request if spend is
 // set. Without this limit, all routers together would overload a server that has just started. Each router
-// uses at most slowStartBudgetPart of the allowed multiple of what the servers serve for it on average, so
-// the sum stays within the budget whatever the routers' shares of the traffic are.
+// uses at most slowStartBudgetPart of the allowed multiple of the rate that a server serves for it on
+// average, so the sum stays within the budget whatever the routers' shares of the traffic are.
 func (r *Router) slowStartAllows(s *server, spend bool) bool {
 	warm := r.warmPart(s)
 	if warm >= 1 || len(r.serverList) == 0 {
 		return true
 	}
-	rate := warm * r.slowStartRate() * r.groupOf(s.Build).subsetFactor() // other routers do not use it
+	// Only the routers that have the server in their subset use it, so each of them may use more.
+	rate := warm * r.slowStartRate() * r.groupOf(s.Build).subsetFactor()
 	burst := max(1, rate*r.settings.OverloadTime.Seconds()/8)
 	s.slowStartUsed = max(0, s.slowStartUsed-rate*(r.now-s.slowStartUpdatedAt).Seconds())
 	s.slowStartUpdatedAt = r.now
@@ -261,9 +262,10 @@
 
 // recordFailure counts a failure that the server may have caused, and makes the server suspect, so that it is
 // avoided for a while, if the server certainly caused it (sure) or if the run of failures is improbable.
-// Without this, a server that fails at once would look idle and attract traffic, and a silent one would hold
-// it. Dead, silent, unreachable and failing servers are all covered. Requests that fail at any server would
-// make all servers suspect; so a run of failures has to be unlikely at the usual failure rate.
+// Without this, a server that fails at once would look idle and attract traffic, and one that does not answer
+// would hold it. Dead, silent, unreachable and failing servers are all covered. A run of failures has to be
+// unlikely at the usual failure rate; otherwise requests that fail at any server would make all servers
+// suspect.
 func (r *Router) recordFailure(s *server, sure bool) {
 	if s.consecutiveFailures++; sure ||
 		math.Pow(max(r.failurePart, minFailureRate), float64(s.consecutiveFailures)) < suspectChance {
@@ -404,7 +406,8 @@
 		return 1
 	}
 	for _, s := range r.trial.all {
-		// Cold servers without budget do not count; otherwise the warm ones would get their traffic too.
+		// A cold server whose slow start budget is used up does not count; otherwise the warm ones would get
+		// its traffic too.
 		if s.isHealthy(r.now) && r.slowStartAllows(s, false) {
 			trialSize += r.warmPart(s)
 		}
@@ -438,7 +441,8 @@
 // cost. A first attempt may go to a suspect or ejected server if no other is left.
 func (r *Router) pickServer(g group, req *request) *server {
 	first := cmp.Or(r.drawServer(g.subset, req, false), r.drawServer(g.all, req, false))
-	// Retries may not, since they would become a retry storm where all servers refuse.
+	// Retries do not go to suspect or ejected servers, since that would become a retry storm where all
+	// servers refuse.
 	allowSuspects := first == nil && req.attempts == 0
 	if allowSuspects {
 		first = r.drawServer(g.all, req, true)
@@ -533,7 +537,7 @@
 	return r.keyBuilds[req.Key] * BuildID(oneIf(!r.rejectedBuilds[r.keyBuilds[req.Key]]))
 }
 
-// ---- The life of a request ----
+// ---- Handling of a request ----
 
 // admitRequest registers a new request and sends its first attempt or queues it.
 func (r *Router) admitRequest(e RequestArrived) {
@@ -563,8 +567,9 @@
 }
 
 // drawForTrial decides at random whether the first attempt of a request goes to the build on trial. Where
-// keys may only move forward, requests whose key is bound to that build come out of the same share first, and
-// keys in frequent use stay out of closed stages: once bound, their writes could not be served by any build.
+// keys may only move forward, requests whose key is bound to that build use up a part of its share, so fewer
+// of the others are drawn. Keys in frequent use are not drawn in closed stages: once such a key is bound to
+// the new build, its requests of classes other than Safe could not be served by any build.
 func (r *Router) drawForTrial(req *request) {
 	if r.trialBuild == 0 {
 		return
@@ -624,12 +629,12 @@
 	req.attemptInFlight = false
 	s.inFlight--
 	r.inFlight--
-	s.lastUsedAt = r.now * time.Duration(oneIf(e.Outcome != ConnectFailed)) // 0: none is open
+	s.lastUsedAt = r.now * time.Duration(oneIf(e.Outcome != ConnectFailed)) // 0: no connection is open
 	if !req.overdue {
 		unanswered := oneIf(e.Outcome == TimedOut || e.Outcome == Reset)
 		smooth(&r.lostParts[oneIf(req.onIdleConn)], attemptSmoothing, float64(unanswered))
 	}
-	if r.now != r.stalledAt { // a router that stood still sees outcomes late, and would hold servers at fault
+	if r.now != r.stalledAt { // a router that stalled sees outcomes late: no fault of the servers
 		r.recordOutcome(s, req, e)
 		if e.Attempt > 0 {
 			r.resolveFirstError(req, &e.Outcome)
@@ -639,7 +644,7 @@
 	}
 	if e.Outcome == OK {
 		r.servedCount++
-		if !req.sentToTrial { // else a slow new build would look like slow connecting
+		if !req.sentToTrial { // otherwise a slow new build would look like slow connecting
 			smooth(&r.latencyRatios[oneIf(req.opensConn)], attemptSmoothing,
 				e.Duration.Seconds()/req.class.LatencyTarget.Seconds())
 		}
@@ -666,7 +671,8 @@
 
 // dropsIdleConns reports whether the network silently drops idle connections, that is, whether many more
 // attempts stay unanswered on them than on others. Idle connections are then closed before a send, so that a
-// server that does not answer is found at the connect. The price is additional handshakes in the meantime.
+// server that does not answer fails already at the connect. The price is additional handshakes in the
+// meantime.
 func (r *Router) dropsIdleConns() bool {
 	return r.lostParts[1] > highIdleLoss && r.lostParts[1] > 2*r.lostParts[0]
 }
@@ -794,8 +800,8 @@
 // drainQueue sends the queued requests that can go, and ends those that can no longer be served in time. It
 // also ends the least valuable ones if the router holds more requests than it may; otherwise the host would
 // refuse the next ones without regard to their value. Where no server may be used, searching for each waiting
-// request would take all the time. So the requests of a class that have the same choice of servers are tried
-// only until one of them finds none.
+// request would take all the router's time. So the requests of a class that have the same choice of servers
+// are tried only until one of them finds none.
 func (r *Router) drainQueue() {
 	room := cmp.Or(r.settings.MaxOpenRequests, math.MaxInt) - r.inFlight
 	r.queuePass++
@@ -863,15 +869,16 @@
 // resolveFirstError decides whether the error of a first attempt counts, by the outcome of the request's
 // attempt at another server. If that failed too, the request is at fault and does not count; otherwise
 // requests that fail at any server would look like a burst of demand and like a bad build. An error does not
-// count either if a second attempt could have told but gave no result (outcome is nil if there was none), or
-// if most errors are the requests' fault. The price: if a released build fails nearly all requests of a
-// class, fewer of its errors count.
+// count either if the class allows a second attempt, which could have shown the cause, but none gave a result
+// (outcome is nil if there was none), or if most errors are the requests' fault. The price: if a released
+// build fails nearly all requests of a class, fewer of its errors count.
 func (r *Router) resolveFirstError(req *request, outcome *Outcome) {
 	if req.firstOutcome.Errors == 0 {
 		return
 	}
 	requestFault := r.requestFaultPart > highRequestFault || req.class.Repeatability != Unsafe
-	// No server of another build can be tried if there is none, or if the base build has just been released.
+	// A failed retry does not show that the request is at fault if it cannot go to another build: no base
+	// server is left, or the base build has just been released.
 	noComparison := len(r.base.all) == 0 ||
 		r.release.Phase == Released && r.now < r.stageStart+fleetSlowdownTime
 	if outcome != nil && (*outcome == OK || *outcome == ServerError) {
@@ -889,7 +896,7 @@
 func (r *Router) countDisputedAnswer(e AnswerDisputed) {
 	s := r.servers[e.Server]
 	if s == nil || r.now-e.AttemptAge < s.Started {
-		return // the server's build at that time is not known any more
+		return // the server's build at that time is no longer known
 	}
 	for _, c := range []*Counts{&r.buildCounts, &r.stageCounts} {
 		a := c.arm(s.Build == r.release.Build)
@@ -934,9 +941,9 @@
 }
 
 // sendInFlight sends all peers the attempts in flight and the servers where attempts have failed, if the
-// router may do that before the previous report expires. Otherwise it sends only the failures, which are few
-// and costly to discover. It also discards the in-flight reports of peers that have sent nothing for
-// inFlightTTL.
+// bytes allowed per request suffice to do so before the previous report expires. Otherwise it sends only the
+// failures, which are few and costly to discover. It also discards the in-flight reports of peers that have
+// sent nothing for inFlightTTL.
 func (r *Router) sendInFlight() {
 	if r.now < r.nextInFlightAt {
 		return
@@ -994,7 +1001,7 @@
 		return
 	}
 	key := peerKey{e.From, report.Incarnation}
-	if _, known := r.peerReports[key]; !known { // corrupt messages could bring any number of incarnations
+	if _, known := r.peerReports[key]; !known { // corrupt messages could contain any number of incarnations
 		if r.peerIncarnations[e.From]++; r.peerIncarnations[e.From] > maxIncarnations {
 			return
 		}
@@ -1143,7 +1150,7 @@
 		}
 	}
 	if !v.tested && r.release.Phase == OnTrial && verdict == VoteNone {
-		due, earliest := r.stageStart+2*stageTimeout, r.stageStart+2*stageTimeout // if no server gets listed
+		due, earliest := r.stageStart+2*stageTimeout, r.stageStart+2*stageTimeout // if no server is listed
 		if r.newestListedAt > r.stageStart {
 			due, earliest = r.newestListedAt+stageTimeout, r.newestListedAt+r.settings.Rollout.MinStageTime
 		}
--- a/logic/state.go
+++ b/logic/state.go
@@ -46,16 +46,16 @@
 	limit, limitAnswers, limitLate float64 // concurrency limit; answers, and late ones, since it was last adapted
 	requestRate, arrivals, ticks   float64 // requests per second; requests since the last tick; ticks so far
 
-	// New requests per second, now and before the trial; requests since the last tick that were counted
-	// before.
+	// New requests per second, now and before the trial; repeats since the last tick, known or presumed, which
+	// do not count as new requests.
 	demand, usualDemand, repeatArrivals float64
 
 	failurePart             float64       // part of attempts that ended in an error or a timeout
 	requestFaultPart        float64       // part of errors that recurred at another server
 	latePart                float64       // part of the base build's answers that were late
-	latencyRatios           [2]float64    // latency as a part of its target, on open and on new connections
+	latencyRatios           [2]float64    // ratio of latency to its target, on open and on new connections
 	servedCount, servedRate float64       // requests served since the last tick; per second, over a longer time
-	lostParts               [2]float64    // part of attempts without an answer, on busy and on idle connections
+	lostParts               [2]float64    // part of attempts without an answer, on other and on idle connections
 	nextTickAt, stalledAt   time.Duration // the next tick; the last event that showed a stall
 
 	inFlightUnshared             bool // too many peers or too little traffic to share in-flight counts
@@ -63,7 +63,7 @@
 	stageCounts, buildCounts     Counts     // this router's, of the current stage and of the build
 	errorSpans                   errorSpans // of the build, over all routers
 	peerReports                  map[peerKey]Report
-	peerIncarnations             map[int]int    // number per peer during this build
+	peerIncarnations             map[int]int    // number of incarnations per peer during this build
 	latestReports                map[int]Report // by peer
 	peerInFlight                 map[int]peerInFlight
 	voters                       []int         // the routers that vote on the current build, in order
@@ -120,10 +120,10 @@
 	nextRecent      int
 	slowThreshold   float64   // in seconds; slower answers are slow; 0: not known
 	baselineAnswers uint32    // number of answers from which slowThreshold was computed
-	blockedPass     [8]uint64 // the queuePass in which a first attempt found no server; see drainQueue
+	blockedPass     [8]uint64 // by kind of request: the queuePass in which a first attempt found no server; see drainQueue
 }
 
-// tenant holds a tenant's share of all quotas, its requests per second, and its requests since the last tick.
+// tenant holds a tenant's share, its requests per second, and its requests since the last tick.
 type tenant struct{ share, rate, arrivals float64 }
 
 // request is a request that has no final answer yet, or whose last attempt is still in flight.
@@ -138,7 +138,7 @@
 	sentAt, mayHaveRunAt time.Duration // when the last attempt was sent, and the first that may have run
 	sentRelease          ReleaseStatus // as known at the last send
 	sentToTrial          bool
-	sentTo, mayHaveRunOn Server // the servers as listed at these two sends
+	sentTo, mayHaveRunOn Server // the servers of these two attempts, as listed when they were sent
 	mayHaveRun           bool
 	randomDraw           float64 // drawn once; compared with slowStartPart and requestFaultRetryPart
 	drawnForTrial, ended bool    // selected for the build on trial; answered, or its client has gone
@@ -235,9 +235,9 @@
 // voteState is the state of this router's vote in the current stage.
 type voteState struct {
 	verdict              Verdict
-	castAt, pendingSince time.Duration // when to cast or renew it; when the unanswered one was cast, 0: none
+	castAt, pendingSince time.Duration // when to cast or renew the vote; when one without a reply was cast, 0: none
 	nextGuardAt          time.Duration
-	tested, otherCause   bool // the stage was tested; something other than the build explains slowness
+	tested, otherCause   bool // the stage was tested; something other than the build may explain slowness
 }
 
 // errorSpans sums up the comparison of a new build's errors with the old build's in the same short spans of
@@ -251,8 +251,8 @@
 }
 
 // close ends a span with the counts pooled by then. All earlier answers of the old build weigh as much as
-// priorAnswers of the span, so that a span with few answers has little influence. designEffect answers count
-// as one.
+// priorAnswers of the span, so that a span with few answers has little influence. Every designEffect answers
+// count as one.
 func (s *errorSpans) close(total Counts, priorAnswers, designEffect float64) {
 	previous := s.startCounts
 	if s.startCounts = total; s.skip {
@@ -284,7 +284,7 @@
 }
 
 // designEffect returns the ratio of the variance of errors between the old build's servers to the variance
-// that chance alone would cause if all had the same error rate. Of that many errors, one is independent
+// that chance alone would cause if all had the same error rate. Only one in that many errors is independent
 // evidence on a build. If no old server is left, the new build's servers are used.
 func (r *Router) designEffect() float64 {
 	g := r.base
@@ -419,8 +419,8 @@
 	maps.DeleteFunc(r.keyBuilds, func(_ uint64, b BuildID) bool { return b <= oldest })
 }
 
-// highestLatencyRatio returns the mean latency as a part of its target, for the class that is closest to its
-// target.
+// highestLatencyRatio returns the ratio of mean latency to latency target, for the class in which it is
+// highest.
 func (r *Router) highestLatencyRatio() (highest float64) {
 	for _, c := range r.classes {
 		highest = max(highest, c.meanSeconds/c.LatencyTarget.Seconds())
@@ -473,7 +473,7 @@
 	if r.settings.Rollout.BudgetPerClass {
 		k.class = c.Name
 	}
-	if r.budgets[k] == nil { // one free attempt is the earned one
+	if r.budgets[k] == nil { // earned, which holds up to one attempt, takes the place of one free attempt
 		used := slices.Repeat([]time.Duration{r.now - 2*r.settings.Rollout.ExposureWindow},
 			max(0, int(r.settings.Rollout.FreeAttempts)-1))
 		r.budgets[k] = &budget{freeSlots: used}
@@ -487,8 +487,8 @@
 	return r.release.Stage + int(oneIf(r.release.Phase == Released))
 }
 
-// pooledDemand sums over all routers the demand now and before the trial, and the answers behind slow
-// thresholds.
+// pooledDemand sums over all routers the demand now and before the trial, and the answers from which slow
+// thresholds were computed.
 func (r *Router) pooledDemand() (demand, usualDemand float64, baseline uint32) {
 	own := r.ownReport()
 	demand, usualDemand, baseline = float64(own.Demand), float64(own.UsualDemand), own.BaselineAnswers
