--- a/internal/decide/usage/cursor.go
+++ b/internal/decide/usage/cursor.go
@@ -90,7 +90,7 @@
 // Kinds of findings.
 const (
 	Missing   FindingKind = iota // expected, but neither a claim nor a batch arrived: the total is unknown, not zero
-	Mismatch                     // the claim differs from what was received
+	Mismatch                     // the claim differs from what was received, or nothing was received
 	Unclaimed                    // batches arrived, but no claim
 	Restarted                    // another incarnation under a name that already has a claim
 )
