--- a/logic/api.go
+++ b/logic/api.go
@@ -6,8 +6,8 @@
 // from an arbitrary origin and never decrease.
 //
 // The exposure of a build is the part of the requests that are sent to it while it is on trial; the release platform
-// caps it. Routers compare the outcomes at the new build with those at the old one and vote on whether the rollout
-// advances to the next stage.
+// caps it. Routers compare the outcomes at the new build (the newest one, on trial until it is released) with those at the
+// old build (also called the base build) and vote on whether the rollout advances to the next stage.
 package logic
 
 import "time"
