--- a/logic/logic.go
+++ b/logic/logic.go
@@ -27,7 +27,7 @@
 	walkPermutations      = 20                     // random orderings whose results the test combines
 	trialCapPart          = 0.8                    // part of the cap used by first attempts at the new build
 	minEvidenceAge        = 3 * time.Second        // outcomes of younger servers are not counted as evidence
-	stageTimeout          = 5 * time.Second        // longest wait for outcomes after a server's listing
+	stageTimeout          = 5 * time.Second        // wait for outcomes after the newest server's listing
 	reportInterval        = 250 * time.Millisecond // time between reports to voters: 1 to 8 times this
 	reportBytesPerRequest = 64                     // bytes of reports allowed per request received
 )
@@ -39,7 +39,7 @@
 	suspectChance      = 0.01                   // less likely runs of failures make a server suspect
 	firstAvoidTime     = 500 * time.Millisecond // how long a server is avoided; doubles up to 16 times this
 	minFailureRate     = 0.05                   // lower bound of the usual failure rate
-	minOutlierFailures = 3.0                    // recent failures, over all routers, that make an outlier
+	minOutlierFailures = 3.0                    // recent failures, over all routers, that an outlier needs
 	recentFailureDecay = 0.975                  // factor per tick, so that failures count for about 2 s
 
 	slowStartBudgetPart = 0.85 // part of a cold server's overload budget that all routers together may use
@@ -60,9 +60,9 @@
 
 	attemptSmoothing      = 0.08                   // weight of one attempt in the moving averages
 	longIdle              = 500 * time.Millisecond // connections idle for longer may be dropped silently
-	highIdleLoss          = 0.2                    // idle connections are closed above this part of losses
+	highIdleLoss          = 0.2                    // above this unanswered part, idle connections are closed
 	idleLossDecay         = 0.997                  // factor per tick for the loss on idle connections
-	highRequestFault      = 0.5                    // if a larger part of errors recurs, requests are at fault
+	highRequestFault      = 0.5                    // if more errors recur elsewhere, requests are at fault
 	requestFaultRetryPart = 0.1                    // part of errors that is retried if requests are at fault
 	slowConnectMargin     = 0.3                    // extra latency on new connections, in latency targets
 
