--- a/internal/decide/ruleset/ruleset.go
+++ b/internal/decide/ruleset/ruleset.go
@@ -112,7 +112,7 @@
 	Lifted     map[string]int64         `json:"lifted,omitempty"` // Unix ms by host: recently lifted cordons, whose servers return with slow start
 }
 
-// PendingChange is a change that is agreed and not yet in force.
+// PendingChange is a change that is announced and not yet in force.
 type PendingChange struct {
 	Version uint64 `json:"version"` // that announced the change
 	Change  Change `json:"change"`
@@ -193,7 +193,7 @@
 	RefusedStale     = "stale"  // the base version is not the current one
 	RefusedKeyReused = "key"    // another request had this key
 	RefusedInvalid   = "wrong"  // the request is invalid
-	RefusedBudget    = "budget" // the budget of cordons is exceeded
+	RefusedBudget    = "budget" // cordon.Budget.Check refuses a cordon
 	RefusedTooLarge  = "large"  // the rules would be larger than MaxRulesBytes
 )
 
@@ -223,7 +223,7 @@
 	return b
 }
 
-// errInvalid is the reason why a request is invalid. Its text is stored with the answer.
+// errInvalid tells why a request is invalid. Its text is stored with the answer.
 type errInvalid string
 
 func (e errInvalid) Error() string { return string(e) }
@@ -297,15 +297,15 @@
 }
 
 // isLower reports whether next is lower than now. A nil number stands for no rule and counts as defaultValue.
-func isLower(next, now *float64, defaultValue float64) bool {
-	nextValue, nowValue := defaultValue, defaultValue
+func isLower(next, current *float64, defaultValue float64) bool {
+	nextValue, currentValue := defaultValue, defaultValue
 	if next != nil {
 		nextValue = *next
 	}
-	if now != nil {
-		nowValue = *now
+	if current != nil {
+		currentValue = *current
 	}
-	return nextValue < nowValue
+	return nextValue < currentValue
 }
 
 // Narrows reports whether a change only reduces what dispatchers may do. Such a change takes effect at once; one that widens
